--- a/bench/fleet_model.py
+++ b/bench/fleet_model.py
@@ -163,6 +163,7 @@
         fleet.at(dies + LEASE, lambda: prober(lambda: True, publish(9, count(1)), boards[1]))
     elif way == "each":  # each front for itself, as without a fleet: what it finds stays with it
         for front in range(words.fronts):
+
             def alone(cache: str, bad: bool, age: float, front: int = front) -> None:
                 fleet.tell(front, i.Judged(int(cache), bad, PROBING.lasts if bad else 0.0, age))
 
@@ -264,8 +265,10 @@
         print(f"failures {paid[0]:.2f} of nobody, {paid[1]:.2f} of each")
         one_read, one_late = log_reads(words, seed, True)
         each_read, each_late = log_reads(words, seed, False)
-        print(f"seed {seed}: polls of the change log {one_read} shared, {each_read} each, "
-              f"1/{each_read / one_read:.0f}; an event at most {one_late:.0f} and {each_late:.0f} ms late")
+        print(
+            f"seed {seed}: polls of the change log {one_read} shared, {each_read} each, "
+            f"1/{each_read / one_read:.0f}; an event at most {one_late:.0f} and {each_late:.0f} ms late"
+        )
 
 
 if __name__ == "__main__":
--- a/bench/lookup.py
+++ b/bench/lookup.py
@@ -50,9 +50,7 @@
         grower = Grower(boxes)
         grower.grow()
         grown = time.perf_counter() - began
-        table = Table(
-            tuple(enumerate(boxes)), tuple(grower.roots), tuple(grower.nodes), tuple(grower.leaves)
-        )
+        table = Table(tuple(enumerate(boxes)), tuple(grower.roots), tuple(grower.nodes), tuple(grower.leaves))
         sights = [
             Sight(chance.randrange(2), chance.getrandbits(64), 0, 0, chance.randrange(1 << 21),
                   IPV4 | chance.getrandbits(32))
--- a/cometseam/levels/signals.py
+++ b/cometseam/levels/signals.py
@@ -129,9 +129,7 @@
     def __init__(self, workloads: tuple[str, ...], make: Callable[[], Histogram]) -> None:
         self.workloads = workloads
         self._link, self._lag = Window(LINK), Window(LAG)
-        self._ends = {
-            kind: [Window(SHARES) for _ in workloads] for kind in ("late", "shed", "errored")
-        }
+        self._ends = {kind: [Window(SHARES) for _ in workloads] for kind in ("late", "shed", "errored")}
         self._pressure = [Rotating(SHARES, make) for _ in workloads]
 
     def link(self, now: float, fullness: float) -> None:
--- a/cometseam/logic.py
+++ b/cometseam/logic.py
@@ -102,6 +102,7 @@
     """When one part of an object was asked for lately."""
 
     __slots__ = ("gaps", "kept_at", "last", "workload")
+
     def __init__(self, now: float, workload: int) -> None:
         self.last, self.workload = now, workload
         self.kept_at: tuple[Server, float] | None = None  # by which cache, and fresh until when
@@ -735,7 +736,8 @@
             if target.answered < held.sent_at:
                 self._strike(target)
             elif outcome is Outcome.TIMEOUT and source.answered < held.sent_at <= max(
-                    e.answered for e in self._sources(held)):
+                e.answered for e in self._sources(held)
+            ):
                 self._strike(source)
         elif outcome in (Outcome.MISS, Outcome.ERROR, Outcome.FULL):
             target.answered = self.now
--- a/cometseam/operator/networks.py
+++ b/cometseam/operator/networks.py
@@ -81,4 +81,3 @@
         )
         shown.append(str(first) if first == last else f"{first}-{last}")
     return ", ".join(shown) + (f" and {len(intervals) - most} more" if len(intervals) > most else "")
-
--- a/cometseam/soak/clients.py
+++ b/cometseam/soak/clients.py
@@ -113,9 +113,7 @@
             "nth": "0", "batch": str(group), "ram": "40",
         }  # fmt: skip
         data = write_frame(Type.PULL, stream, write_fields(fields))
-        request = Requested(
-            time.monotonic(), self._target.number, life, name, limit, group, asked.name
-        )
+        request = Requested(time.monotonic(), self._target.number, life, name, limit, group, asked.name)
         return request, data
 
     async def _read(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
--- a/cometseam/soak/discovery.py
+++ b/cometseam/soak/discovery.py
@@ -144,9 +144,7 @@
             await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
             told, answered_at = last, time.monotonic()
         finally:
-            self._log.history.add(
-                Polled(asked_at, self.front, life, answered_at, time.monotonic(), told)
-            )
+            self._log.history.add(Polled(asked_at, self.front, life, answered_at, time.monotonic(), told))
 
     async def _until_closed(self, reader: BufferedByteReceiveStream) -> None:
         """Wait until the front has closed a connection; ends with what `receive` raises."""
--- a/cometseam/soak/history.py
+++ b/cometseam/soak/history.py
@@ -154,8 +154,19 @@
 
 
 Record = (
-    Started | Ended | Requested | Replied | Abandoned | Arrived | Finished | Changed | Polled
-    | DiscoveryTrouble | Sampled | Lagged | Acted
+    Started
+    | Ended
+    | Requested
+    | Replied
+    | Abandoned
+    | Arrived
+    | Finished
+    | Changed
+    | Polled
+    | DiscoveryTrouble
+    | Sampled
+    | Lagged
+    | Acted
 )
 
 
--- a/cometseam/timing/grow.py
+++ b/cometseam/timing/grow.py
@@ -25,9 +25,7 @@
 
 
 def _narrow(box: Box) -> tuple[bool, ...]:
-    return tuple(
-        WIDE * sum(b - a for a, b in box[axis]) < ENDS[axis] for axis in range(1, len(ENDS))
-    )
+    return tuple(WIDE * sum(b - a for a, b in box[axis]) < ENDS[axis] for axis in range(1, len(ENDS)))
 
 
 class Grower:
--- a/cometseam/timing/prove.py
+++ b/cometseam/timing/prove.py
@@ -73,9 +73,12 @@
     if plan.second is None:
         return
     if not settings.recalls:
-        yield "second", (
-            "the settings do not let a relay be given up, so the first would still be out beside the second: "
-            "a pull's relays are never out together"
+        yield (
+            "second",
+            (
+                "the settings do not let a relay be given up, so the first would still be out beside the second: "
+                "a pull's relays are never out together"
+            ),
         )
     if plan.worth is not None and Outcome.CANCELLED not in plan.worth:
         yield "second", "retry_on leaves out given-up: no relay would go after the one that is given up"
@@ -86,17 +89,23 @@
             yield "second.after", f"{after:g} ms: {why}"
             return
         if after <= sending:
-            yield "second.after", (
-                f"{after:g} ms, but a pull of {terms.workload} that this can match takes {sending:g} ms to "
-                "send: its first would always be given up"
+            yield (
+                "second.after",
+                (
+                    f"{after:g} ms, but a pull of {terms.workload} that this can match takes {sending:g} ms to "
+                    "send: its first would always be given up"
+                ),
             )
             return
         for kind in Kind:
             span = plan.time_outs[kind][0]
             if span is not None and after >= (ends := spread(span, sending)):
-                yield "second.after", (
-                    f"{after:g} ms for a pull of {sending:g} ms, but time_outs.{KINDS[kind]} ends the first "
-                    f"after {ends:g} ms: it could never act"
+                yield (
+                    "second.after",
+                    (
+                        f"{after:g} ms for a pull of {sending:g} ms, but time_outs.{KINDS[kind]} ends the first "
+                        f"after {ends:g} ms: it could never act"
+                    ),
                 )
                 return
 
@@ -111,23 +120,32 @@
         if plan.second is not None:
             yield "second", f"{name} is once-only: a relay that is given up may have run"
         if (plan.relays or 1) > 1 and risky:
-            yield "relays" if plan.worth is None else "retry_on", (
-                f"{name} is once-only, but a further relay would go after {', '.join(risky)}: "
-                "after these the first may have run"
+            yield (
+                "relays" if plan.worth is None else "retry_on",
+                (
+                    f"{name} is once-only, but a further relay would go after {', '.join(risky)}: "
+                    "after these the first may have run"
+                ),
             )
         return
     if rules.group is not Group.ALL and terms.any_group and plan.second is not None:
-        yield "second.where", (
-            f"{name} is tagged and its repeats are dropped within a {rules.group} only: "
-            "a second copy may not go anywhere"
+        yield (
+            "second.where",
+            (
+                f"{name} is tagged and its repeats are dropped within a {rules.group} only: "
+                "a second copy may not go anywhere"
+            ),
         )
     if (plan.relays or 1) > 1 and risky:
         for sending, _ in terms.ends:
             parts, total = course(plan, sending, last=False)
             if parts and total >= rules.window:
-                yield "relays", (
-                    f"{name} is tagged and repeats are dropped for {rules.window:g} ms, but its last relay "
-                    f"may go after {' + '.join(parts)} = {total:g} ms (a pull of {sending:g} ms)"
+                yield (
+                    "relays",
+                    (
+                        f"{name} is tagged and repeats are dropped for {rules.window:g} ms, but its last relay "
+                        f"may go after {' + '.join(parts)} = {total:g} ms (a pull of {sending:g} ms)"
+                    ),
                 )
                 return
 
@@ -140,9 +158,12 @@
                 assert span is not None
                 time = spread(span, sending)
                 if time <= sending or time <= 0.0:
-                    yield f"time_outs.{KINDS[kind]}.{name}", (
-                        f"{_told(span)} = {time:g} ms, but the {size} pull of {terms.workload} that this can "
-                        f"match takes {sending:g} ms to send"
+                    yield (
+                        f"time_outs.{KINDS[kind]}.{name}",
+                        (
+                            f"{_told(span)} = {time:g} ms, but the {size} pull of {terms.workload} that this can "
+                            f"match takes {sending:g} ms to send"
+                        ),
                     )
                     break
 
@@ -154,10 +175,13 @@
         parts, total = course(plan, sending, last=True)
         bound, name = bound_of(terms, sending)
         if parts and total > bound:
-            yield "relays", (
-                f"{' + '.join(parts)} = {total:g} ms, but the {name} of the {size} pull of {terms.workload} "
-                f"is {bound:g} ms (sending {sending:g} ms; connecting, up to {terms.connect:g} ms, counts "
-                "within each time-out)"
+            yield (
+                "relays",
+                (
+                    f"{' + '.join(parts)} = {total:g} ms, but the {name} of the {size} pull of {terms.workload} "
+                    f"is {bound:g} ms (sending {sending:g} ms; connecting, up to {terms.connect:g} ms, counts "
+                    "within each time-out)"
+                ),
             )
             return
 
--- a/cometseam/transport/connection.py
+++ b/cometseam/transport/connection.py
@@ -178,9 +178,7 @@
         await anyio.sleep(max(LINGER - (self._clock.now() - self._wrote_at) / 1000.0, 0.0))
         self.close()
 
-    async def run(
-        self, feed: Callable[[memoryview], int], left: Callable[[], None] | None = None
-    ) -> None:
+    async def run(self, feed: Callable[[memoryview], int], left: Callable[[], None] | None = None) -> None:
         """Hand all that comes in to `feed`, which tells how much it took, until the connection ends.
 
         With `left` the other side's end ends it although something that it sent is still unread, and `left`
--- a/cometseam/transport/peer.py
+++ b/cometseam/transport/peer.py
@@ -219,6 +219,7 @@
         if self._watch is None:
             silence = SILENCE * self._around.links.connect_within
             self._watch = self._around.timers.at(now + silence, self._look)
+
         def written(whole: bool) -> None:
             ask.written_at = self._around.clock.now() if whole else 0.0
 
--- a/tests/standins/fronts.py
+++ b/tests/standins/fronts.py
@@ -159,8 +159,16 @@
                         more.write_text(f"(import 'operator.jsonnet') + {shared}{plan}")
                         file = more
                     front = await here.stack.enter_async_context(
-                        world(place, *names, operator=file, at=at, patience=90.0, name=f"front-{number}",
-                              prepare=prepare, command=_command(rates[number]) if rates else None)
+                        world(
+                            place,
+                            *names,
+                            operator=file,
+                            at=at,
+                            patience=90.0,
+                            name=f"front-{number}",
+                            prepare=prepare,
+                            command=_command(rates[number]) if rates else None,
+                        )
                     )
                     for cache in front.caches.values():  # the parent and the origin of its own
                         cache.alive = True
@@ -175,4 +183,3 @@
                     os.kill(process.pid, signal.SIGCONT)
                     process.kill()
                     await process.wait()
-
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -27,9 +27,7 @@
     return {**told, "repeat": repeat, "window": 2500.0, "worth": 1.0, **more}
 
 
-def shape(
-    grades: list[dict[str, Any]], writes: list[bool], **ceilings: Any
-) -> Callable[[World], None]:
+def shape(grades: list[dict[str, Any]], writes: list[bool], **ceilings: Any) -> Callable[[World], None]:
     """Return what makes the sample's configuration one of this shape."""
 
     def prepare(here: World) -> None:
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -480,8 +480,6 @@
     assert command("explain", str(EXAMPLE), "--level", "full", "--signal", "link=x")[0] == 2
 
 
-
-
 EVERYTHING = i.Eased(
     3, (0.0,) * 4, ageing=True, first_seen=False, further=False, fills=0.05, later=900.0, reading=1.0
 )
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -95,9 +95,7 @@
     assert time.monotonic() - began < 2.0 + 1.0  # a machine that runs other tests beside this one
 
 
-def test_a_file_replaced_while_it_is_read_is_refused(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_file_replaced_while_it_is_read_is_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     (tmp_path / "a.libsonnet").write_text("{ relays: 1 }")
     path = tmp_path / "main.jsonnet"
     path.write_text("{ version: 1, default: import 'a.libsonnet' }")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -6,6 +6,8 @@
 from cometseam.ownership.explore import explore, wander
 
 TERMS = Terms(ttl_ms=1000.0, margin_ms=250.0, drift=0.01, renew_ms=200.0, round_trip_ms=100.0)
+
+
 def state(owner: Owner) -> State:
     """The owner's state now (a call, so that a type checker does not fix it from an earlier assert)."""
     return owner.state
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -344,5 +344,3 @@
     after = [story for story in world.stories.values() if story.at > 17000.0]
     assert len(after) > 200
     assert all(story.finals[0][1] == "finished" for story in after)
-
-
--- a/tests/test_retries_fronts.py
+++ b/tests/test_retries_fronts.py
@@ -37,9 +37,7 @@
 
 async def play(allowed: int, fault: Fault, length: float = 8.0) -> Fronts:
     """One front has nearly all that is asked, everything fails; the caches keep the record."""
-    async with fronts(
-        FRONTS, NAMES, limits=True, expected=FRONTS, budget=allowed, behave=errs
-    ) as here:
+    async with fronts(FRONTS, NAMES, limits=True, expected=FRONTS, budget=allowed, behave=errs) as here:
         await here.probing(task="limits")
         here.cold_at = time.monotonic()
         async with anyio.create_task_group() as tasks:
