--- a/bench/cpu.py
+++ b/bench/cpu.py
@@ -15,7 +15,17 @@
 def settings() -> i.Settings:
     """Return settings of a zone with three caches."""
     maps = i.Workload(
-        300.0, 2.0, 3000.0, 1.0, i.Effect.REPEATABLE, i.Group.ALL, 5000.0, False, 5000.0, 20000.0, 0.7
+        300.0,
+        2.0,
+        3000.0,
+        1.0,
+        i.Idempotency.REPEATABLE,
+        i.DedupScope.ALL,
+        5000.0,
+        False,
+        5000.0,
+        20000.0,
+        0.7,
     )
     return i.Settings((maps, maps), 1, (0, 0, 0), (0, 1, 1), 2, 1, 2, False, True, 0, True, True, 1000.0, 4,
                       True, 5.0, 0.2, 10000.0, 2.0, 2000.0, 0.1, 15000.0, 2.0, 6000.0)  # fmt: skip
@@ -28,8 +38,10 @@
     pulls = parser.parse_args().pulls
     front, chance, now = Front(7, settings()), Random(3), 1000.0
     caches = [(11, 1, 0), (12, 1, 0), (13, 1, 0), (21, 0, 1), (22, 0, 1), (31, 0, 2)]
-    entries = tuple(i.Listed(c, i.Lifecycle.READY, 0.0, c % 10, zone, kind, 8.0) for c, zone, kind in caches)
-    front.handle(now, i.Members(i.ListKind.CACHED, entries))
+    entries = tuple(
+        i.CacheEntry(c, i.Lifecycle.READY, 0.0, c % 10, zone, kind, 8.0) for c, zone, kind in caches
+    )
+    front.handle(now, i.CacheListUpdate(i.ListUpdateKind.CACHED, entries))
     began = time.process_time()
     for number in range(1, pulls + 1):
         now += 4.0
@@ -47,7 +59,7 @@
             remark = remark if outcome is i.Outcome.OK else i.Remark.NONE
             ok = outcome is i.Outcome.OK
             actions = front.handle(
-                now + 1.0, i.Ended(number, relay, sent.cache, outcome, remark, 22.0, 1.0, ok, (0.4,))
+                now + 1.0, i.RelayEnded(number, relay, sent.cache, outcome, remark, 22.0, 1.0, ok, (0.4,))
             )
     print(f"{1e6 * (time.process_time() - began) / pulls:.2f}")
 
--- a/bench/fleet_model.py
+++ b/bench/fleet_model.py
@@ -3,9 +3,9 @@
 Two hundred `Front`s (the module as it ships) send pulls to the caches of one zone; from a moment on one cache
 takes connections and says nothing. *Nobody*: no front probes, each learns by its own pulls. *Each*: each
 front probes each cache and knows what it sees itself. *Shared*: one front probes (`Prober`, more often, since
-it does so for all), its rulings reach all after `--lag` ms and go through each front's `Board` to its module;
-the prober dies in the middle, and another goes on a lease later. All in one run, the same seed, the same
-pulls. Caches are modelled, nothing is sent on sockets:
+it does so for all), its rulings reach all after `--lag` ms and go through each front's `VerdictTable` to its
+module; the prober dies in the middle, and another goes on a lease later. All in one run, the same seed, the
+same pulls. Caches are modelled, nothing is sent on sockets:
 
     python -m bench.fleet_model --fronts 200 --caches 20 --seconds 60 --seeds 3
 """
@@ -21,11 +21,11 @@
 from bench.cpu import settings
 from cometseam import interface as i
 from cometseam.logic import Front
-from cometseam.ownership import Turn
-from cometseam.verdicts import Board, Prober, Probing
+from cometseam.ownership import LogPollGate
+from cometseam.verdicts import Prober, ProbeTerms, VerdictTable
 
 BAD = 1000  # the cache that falls silent
-PROBING = Probing()
+PROBING = ProbeTerms()
 LEASE = 3000.0  # ms until another front has taken a dead prober's task over
 
 
@@ -58,9 +58,9 @@
             match action:
                 case i.Relay():
                     self._relay(front, action)
-                case i.Wake():
-                    rang = i.Rang(action.mark)
-                    self.at(self.now + action.after, lambda rang=rang: self.tell(front, rang))  # type: ignore[misc]
+                case i.StartTimer():
+                    rang = i.TimerFired(action.timer_id)
+                    self.at(self.now + action.delay, lambda rang=rang: self.tell(front, rang))  # type: ignore[misc]
                 case i.Shed() | i.Error():
                     self.seen["given up"] += 1
                     self.began.pop((front, action.id), None)
@@ -73,7 +73,7 @@
         self.seen["relays"] += 1
         silent = relay.cache == BAD and self.silent(self.now)
         outcome = i.Outcome.TIMEOUT if silent else i.Outcome.OK
-        took = relay.time_out if silent else 15.0 + 10.0 * self.chance.random()
+        took = relay.timeout if silent else 15.0 + 10.0 * self.chance.random()
 
         def end() -> None:
             self.seen["failures"] += silent
@@ -82,7 +82,9 @@
                 self.seen["finished"] += 1
                 self.seen["late"] += late > 300.0
             load = (0.4,)
-            ended = i.Ended(relay.id, number, relay.cache, outcome, i.Remark.HIT, took, 0.0, not silent, load)
+            ended = i.RelayEnded(
+                relay.id, number, relay.cache, outcome, i.Remark.HIT, took, 0.0, not silent, load
+            )
             self.tell(front, ended)
 
         self.at(self.now + max(took, 1.0), end)
@@ -110,29 +112,31 @@
     """Have one prober work every 20 ms, for as long as it lives."""
     if not until():
         return
-    for cache in prober.due(fleet.now):
+    for cache in prober.start_due_probes(fleet.now):
         fleet.seen["probes"] += 1
         ill = cache == str(BAD) and fleet.silent(fleet.now)
         after = prober.terms.within if ill else 2.0
-        fleet.at(fleet.now + after, lambda cache=cache, ill=ill: prober.ended(cache, not ill))  # type: ignore[misc]
-    for ruling in prober.rulings(fleet.now):
-        ruled(ruling.cache, ruling.bad, fleet.now - ruling.since)
+        fleet.at(fleet.now + after, lambda cache=cache, ill=ill: prober.record_probe_result(cache, not ill))  # type: ignore[misc]
+    for ruling in prober.pop_due_verdicts(fleet.now):
+        ruled(ruling.cache, ruling.bad, fleet.now - ruling.evidence_since)
     fleet.at(fleet.now + 20.0, lambda: probe(fleet, prober, until, ruled))
 
 
 def play(words: argparse.Namespace, seed: int, way: str) -> Counter[str]:
     """One run; return what it counted."""
     told = replace(settings(), fronts=words.fronts, fronts_by_zone=(0, words.fronts, 0))
-    entries = [i.Listed(BAD + c, i.Lifecycle.READY, 0.0, c % 10, 1, 0, 200.0) for c in range(words.caches)]
+    entries = [
+        i.CacheEntry(BAD + c, i.Lifecycle.READY, 0.0, c % 10, 1, 0, 200.0) for c in range(words.caches)
+    ]
     begin, end = 0.25 * words.seconds * 1000.0, 0.85 * words.seconds * 1000.0
     chance = Random(seed)
     fronts = [Front(seed + n, told) for n in range(words.fronts)]
     fleet = Fleet(fronts, chance, lambda now: begin <= now < end)
     for front in range(words.fronts):
-        fleet.tell(front, i.Members(i.ListKind.CACHED, tuple(entries)))
+        fleet.tell(front, i.CacheListUpdate(i.ListUpdateKind.CACHED, tuple(entries)))
     pulls(fleet, words.rate, words.seconds)
     names = [str(entry.cache) for entry in entries]
-    boards = [Board(PROBING.lasts) for _ in range(words.fronts)]
+    boards = [VerdictTable(PROBING.lasts) for _ in range(words.fronts)]
 
     def publish(token: int, number: "count[int]") -> Ruled:
         def ruled(cache: str, bad: bool, age: float) -> None:
@@ -140,9 +144,9 @@
             said = next(number)
 
             def hear(front: int) -> None:
-                heard = boards[front].take(cache, token, said, bad, age, fleet.now)
+                heard = boards[front].record_verdict(cache, token, said, bad, age, fleet.now)
                 if heard is not None:
-                    fleet.tell(front, i.Judged(int(cache), heard.bad, heard.rest, heard.age))
+                    fleet.tell(front, i.HealthVerdict(int(cache), heard.bad, heard.ttl, heard.age))
 
             for front in range(words.fronts):
                 late = words.lag * (0.5 + chance.random())
@@ -150,11 +154,11 @@
 
         return ruled
 
-    def prober(until: Callable[[], bool], out: Ruled, board: Board) -> None:
+    def prober(until: Callable[[], bool], out: Ruled, board: VerdictTable) -> None:
         within = min(PROBING.within, 0.6 * words.interval)
         one = Prober(PROBING if way == "each" else replace(PROBING, interval=words.interval, within=within))
-        one.listed(names, fleet.now)
-        one.began(board.bad(fleet.now), fleet.now)
+        one.update_caches(names, fleet.now)
+        one.take_over(board.bad_caches(fleet.now), fleet.now)
         probe(fleet, one, until, out)
 
     if way == "shared":
@@ -165,7 +169,7 @@
         for front in range(words.fronts):
 
             def alone(cache: str, bad: bool, age: float, front: int = front) -> None:
-                fleet.tell(front, i.Judged(int(cache), bad, PROBING.lasts if bad else 0.0, age))
+                fleet.tell(front, i.HealthVerdict(int(cache), bad, PROBING.lasts if bad else 0.0, age))
 
             fleet.at(1.0, lambda alone=alone, front=front: prober(lambda: True, alone, boards[front]))  # type: ignore[misc]
     fleet.play(words.seconds * 1000.0)
@@ -180,7 +184,7 @@
     """
     chance, seen = Random(seed), 0
     fleet = Fleet([], chance, lambda now: False)
-    turns = [Turn(4000.0) for _ in range(words.fronts)]
+    turns = [LogPollGate(4000.0) for _ in range(words.fronts)]
     known = [0] * words.fronts
     heard_at: list[dict[int, float]] = [{} for _ in range(words.fronts)]
     reader: list[int | None] = [0 if shared else None]
@@ -201,7 +205,7 @@
             late = words.lag * (0.5 + chance.random())
 
             def hear(front: int = front) -> None:
-                if turns[front].hears(*word, fleet.now):
+                if turns[front].record_update(*word, fleet.now):
                     knows(front, number)
 
             fleet.at(fleet.now + late, hear)
@@ -209,7 +213,7 @@
     def poll(front: int) -> None:
         nonlocal seen
         reads = reader[0] == front
-        if not turns[front].polls(reads, fleet.now):
+        if not turns[front].should_poll(reads, fleet.now):
             fleet.at(fleet.now + 50.0, lambda: poll(front))
             return
         seen += 1
--- a/bench/flood.py
+++ b/bench/flood.py
@@ -2,7 +2,7 @@
 
 Real processes, several fronts each with a connection of its own (`coordination.agent --members`): the etcd
 stand-in, a fenced target, our proxies. The eager way (campaign the moment a task is seen free) and ways
-with a wait of up to 100 ms and 1 s by `Bidder` are taken in turns in one run. Not run by CI:
+with a wait of up to 100 ms and 1 s by `CampaignScheduler` are taken in turns in one run. Not run by CI:
 
     python -m bench.flood --processes 8 --members 25 --tasks 50 --seconds 20
 """
--- a/bench/levels.py
+++ b/bench/levels.py
@@ -15,20 +15,35 @@
 
 from cometseam import interface as i
 from cometseam import logic
-from cometseam.levels import Reading
-from cometseam.levels.watch import EVERY, Watch
-from cometseam.operator import Compiled
+from cometseam.levels import UtilizationSample
+from cometseam.levels.controller import EVALUATION_INTERVAL_MS, LevelController
+from cometseam.operator import CompiledConfig
 from cometseam.operator.load import load
 from cometseam.routing.levels import histogram
-from cometseam.timing import Sight, whole_size
+from cometseam.timing import RouteKey, size_in_bytes
 from tests.drive import MAPS, SAMPLE, SERVERS, SETTINGS, line
 from tests.standins.scripted import Said, World
 
 WORKLOADS = (
-    replace(MAPS, quoted=600.0, stretch=1.6, cut_off=6000.0, gain=2.0, fresh=0.0, grace=0.0),
-    replace(MAPS, quoted=250.0, stretch=2.0, cut_off=3000.0, fresh=20_000.0, grace=20_000.0),
+    replace(
+        MAPS,
+        target_latency=600.0,
+        target_latency_factor=1.6,
+        deadline=6000.0,
+        gain=2.0,
+        fresh_ttl=0.0,
+        stale_ttl=0.0,
+    ),
+    replace(
+        MAPS,
+        target_latency=250.0,
+        target_latency_factor=2.0,
+        deadline=3000.0,
+        fresh_ttl=20_000.0,
+        stale_ttl=20_000.0,
+    ),
 )
-RULES = replace(SETTINGS, workloads=WORKLOADS, zone=1, pace=3.5, parent_kind=1, origin_kind=2)
+RULES = replace(SETTINGS, workloads=WORKLOADS, zone=1, stream_rate=3.5, parent_kind=1, origin_kind=2)
 ROOM = 6.0  # fills at full pace that the link carries at once
 HELD = 400_000.0  # KB that a cache keeps
 LENGTH, FROM, TO = 50_000.0, 10_000.0, 40_000.0
@@ -37,37 +52,39 @@
 class Linked(World):
     """Caches that keep what they are told, and fill over one link."""
 
-    def __init__(self, compiled: Compiled | None, seed: int) -> None:
+    def __init__(self, compiled: CompiledConfig | None, seed: int) -> None:
         self.kept: dict[int, OrderedDict[int, tuple[float, float]]] = {}  # by cache: object: KB, made at
         self.active: dict[tuple[int, int], list[float]] = {}  # by relay: [ms of sending left, -]
         self.moved = 0.0
         self.turn = 0
-        self.watch: Watch | None = None
+        self.watch: LevelController | None = None
         super().__init__(RULES, tuple(line(cache) for cache in SERVERS), self.answer, seed)
-        if compiled is not None and compiled.scheme is not None:
-            both = zip(compiled.names, compiled.table.routes, strict=True)
+        if compiled is not None and compiled.level_policy is not None:
+            both = zip(compiled.route_names, compiled.table.routes, strict=True)
             routes = tuple((name, plan) for name, (plan, _) in both)
-            self.watch = Watch(compiled.scheme, routes, ("grids", "maps"), Random(seed), histogram)
+            self.watch = LevelController(
+                compiled.level_policy, routes, ("grids", "maps"), Random(seed), histogram
+            )
             self.tell(compiled.plans)
             self.at(0.0, self.look)
 
     def look(self) -> None:
         """Step the levels, as the module's actor does."""
         assert self.watch is not None
-        fills = self.front.fills.out / max(self.front.fills.size, 1.0)
-        _, eased = self.watch.step(self.now, Reading(fills, 0.0, 0.0, None))
+        fills = self.front.fill_limit.in_flight / max(self.front.fill_limit.size, 1.0)
+        _, eased = self.watch.step(self.now, UtilizationSample(fills, 0.0, 0.0, None))
         if eased is not None:
             self.tell(eased)
         if self.now < LENGTH:
-            self.at(self.now + EVERY, self.look)
+            self.at(self.now + EVALUATION_INTERVAL_MS, self.look)
 
     def tell(self, event: i.Event) -> None:
         """Let answers tell how full the link is, and the levels hear of it."""
-        if isinstance(event, i.Ended):
+        if isinstance(event, i.RelayEnded):
             full = len(self.active) / ROOM
             event = replace(event, load=(full,))
             if self.watch is not None:
-                self.watch.signals.link(self.now, full)
+                self.watch.signals.record_link(self.now, full)
         super().tell(event)
 
     def _final(self, pull: int, kind: str) -> None:
@@ -76,19 +93,19 @@
             story = self.stories[pull]
             took, quoted = self.now - story.at, story.quoted - story.at
             if kind != "shed":
-                self.watch.signals.answered(self.now, story.pull.workload, kind, took, quoted)
+                self.watch.signals.record_answer(self.now, story.pull.workload, kind, took, quoted)
 
     def answer(self, now: float, relay: i.Relay, pull: i.Pull, chance: Random) -> Said:
         """Answer a look from what is kept; a fill joins the link and ends when its bytes are over."""
         kept = self.kept.setdefault(relay.cache, OrderedDict())
-        sending = pull.size_kb / RULES.pace
+        sending = pull.size_kb / RULES.stream_rate
         rules = WORKLOADS[pull.workload]
         copy = kept.get(pull.object)
-        oldest = relay.oldest or (rules.fresh or float("inf"))
+        oldest = relay.max_age or (rules.fresh_ttl or float("inf"))
         if copy is not None and now - copy[1] <= oldest:
             kept.move_to_end(pull.object)
             return Said(2.0 + sending)
-        if relay.source == relay.cache or relay.only_held:
+        if relay.source == relay.cache or relay.only_cached:
             lacks = i.Remark.NONE if relay.source == relay.cache else i.Remark.SOURCE_LACKS
             return Said(2.0, i.Outcome.MISS, lacks)
         number = len(self.stories[relay.id].sent) - 1
@@ -136,11 +153,11 @@
         super()._end(pull, number, said)
 
 
-def day(compiled: Compiled | None, load_factor: float, seed: int, plain: bool = False) -> Linked:
+def day(compiled: CompiledConfig | None, load_factor: float, seed: int, plain: bool = False) -> Linked:
     """Play a day; `plain`: the module neither sheds early nor spills by crowd."""
-    certain, spill = logic.CERTAIN, logic.SPILL
+    certain, spill = logic.ADMISSION_SHARE, logic.SPILL_SHARE
     if plain:
-        logic.CERTAIN = logic.SPILL = 1e9
+        logic.ADMISSION_SHARE = logic.SPILL_SHARE = 1e9
     try:
         world = Linked(compiled, seed)
         chance, at, number = Random(seed), 0.0, 0
@@ -154,19 +171,19 @@
                 wanted, size_kb, workload = int(600 * chance.random() ** 2.5), 1200.0, 0
             else:
                 wanted, size_kb, workload = 10_000 + int(1500 * chance.random() ** 2.5), 200.0, 1
-            left = WORKLOADS[workload].cut_off
+            left = WORKLOADS[workload].deadline
             pull = i.Pull(number, wanted, 0, workload, left, False, size_kb, wanted % 256)
-            pull.client = number % 7
+            pull.client_network = number % 7
             if compiled is not None:
-                sight = Sight(workload, wanted, wanted % 256, 0, whole_size(size_kb), 1)
+                sight = RouteKey(workload, wanted, wanted % 256, 0, size_in_bytes(size_kb), 1)
                 found = compiled.table.find(sight)
-                pull.plan = compiled.table.routes[found][0] if found >= 0 else -1
+                pull.plan_index = compiled.table.routes[found][0] if found >= 0 else -1
             world.pull(at, pull)
         world.run()
         assert world.judge() == [], world.judge()[:3]
         return world
     finally:
-        logic.CERTAIN, logic.SPILL = certain, spill
+        logic.ADMISSION_SHARE, logic.SPILL_SHARE = certain, spill
 
 
 def gain(workload: int | None) -> Callable[[Linked], float]:
@@ -198,7 +215,7 @@
             worlds = [day(levels, load_factor, seed, plain) for seed in range(1, words.seeds + 1)]
             shares = [statistics.mean(map(gain(which), worlds)) for which in (0, 1, None)]
             each = [gain(None)(world) for world in worlds]
-            times = [sum(w.watch.machine.time_in[1:]) / 1000.0 for w in worlds if w.watch]
+            times = [sum(w.watch.state_machine.level_times_ms[1:]) / 1000.0 for w in worlds if w.watch]
             told = f"{min(each):.3f} to {max(each):.3f}"
             told += f"; {statistics.mean(times):.1f} s below full service" if times else ""
             print(f"{load_factor:4}  {name:14} {shares[0]:7.3f} {shares[1]:6.3f} {shares[2]:6.3f}   {told}")
--- a/bench/limits_model.py
+++ b/bench/limits_model.py
@@ -1,10 +1,10 @@
 """What a cold cache gets from two hundred fronts in virtual time, its limit shared out or in equal parts.
 
-The module as it ships in every front (`bench.fleet_model`'s fleet), `Share` and `Coordinator` between them
-with everything late by `--lag` ms on average. A cache starts anew, cold; some fronts ask a lot, most little;
-seven seconds on, seven in ten fronts are killed at once and start anew (the herd of the fleet's days), the
-coordinator among them. Counted: relays to the cold cache in any window, as a part of its limit. Both ways in
-one run, the same seed and pulls:
+The module as it ships in every front (`bench.fleet_model`'s fleet), `FrontShares` and `Coordinator` between
+them with everything late by `--lag` ms on average. A cache starts anew, cold; some fronts ask a lot, most
+little; seven seconds on, seven in ten fronts are killed at once and start anew (the herd of the fleet's
+days), the coordinator among them. Counted: relays to the cold cache in any window, as a part of its limit.
+Both ways in one run, the same seed and pulls:
 
     python -m bench.limits_model --fronts 200 --seconds 24 --seeds 3
 """
@@ -18,10 +18,10 @@
 from bench.cpu import settings
 from bench.fleet_model import Fleet
 from cometseam import interface as i
-from cometseam.limits import Coordinator, Grant, Share, Sharing
+from cometseam.limits import CapacityGrant, Coordinator, FrontShares, SharingTerms
 from cometseam.logic import Front
-from cometseam.routing import shares
-from cometseam.timing import Part
+from cometseam.routing import capacity_demand
+from cometseam.timing import CapacityShare
 
 COLD = 1000  # the cache that starts anew
 SENDING = 300.0  # ms of each pull: the workload's mean from the start, so that all count alike
@@ -46,9 +46,9 @@
         if relay.cache == COLD:
             module = self.fronts[front]
             server = module.servers[COLD]
-            kept, server.part = server.part, Part(1.0)
-            whole = module.cold(server)
-            server.part = kept
+            kept, server.slow_start_share = server.slow_start_share, CapacityShare(1.0)
+            whole = module.slow_start_budget(server)
+            server.slow_start_share = kept
             if whole:
                 self.seen_cold.at.append((self.now, whole / SENDING))
         super()._relay(front, relay)
@@ -64,26 +64,26 @@
     return found
 
 
-def listed(ready_at: float) -> i.Listed:
+def listed(ready_at: float) -> i.CacheEntry:
     """The cold cache's line, started at a time."""
-    return i.Listed(COLD, i.Lifecycle.READY, ready_at, 0, 1, 0, WEIGHT)
+    return i.CacheEntry(COLD, i.Lifecycle.READY, ready_at, 0, 1, 0, WEIGHT)
 
 
 def play(words: argparse.Namespace, seed: int, shared: bool) -> list[tuple[float, float]]:
     """One run; return what the cold cache got."""
     by_zone = (0, words.fronts, 0)
-    told = replace(settings(), fronts=words.fronts, fronts_by_zone=by_zone, warm_after=WARMS)
-    terms = Sharing(words.fronts, lasts=3000.0, refresh=500.0, window=told.fall_time)
+    told = replace(settings(), fronts=words.fronts, fronts_by_zone=by_zone, slow_start_duration=WARMS)
+    terms = SharingTerms(words.fronts, grant_ttl=3000.0, refresh=500.0, window=told.overload_window)
     chance = Random(seed)
     fleet = Counting([Front(seed + n, told) for n in range(words.fronts)], chance, lambda now: False)
     fleet.seen_cold = Seen()
-    others = [i.Listed(COLD + c, i.Lifecycle.READY, 0.0, c, 1, 0, WEIGHT) for c in range(1, CACHES)]
-    others += [i.Listed(2000 + p, i.Lifecycle.READY, 0.0, 0, 0, 1, 4000.0) for p in range(2)]
-    others.append(i.Listed(3000, i.Lifecycle.READY, 0.0, 0, 0, 2, 4000.0))
+    others = [i.CacheEntry(COLD + c, i.Lifecycle.READY, 0.0, c, 1, 0, WEIGHT) for c in range(1, CACHES)]
+    others += [i.CacheEntry(2000 + p, i.Lifecycle.READY, 0.0, 0, 0, 1, 4000.0) for p in range(2)]
+    others.append(i.CacheEntry(3000, i.Lifecycle.READY, 0.0, 0, 0, 2, 4000.0))
     for front in range(words.fronts):
-        fleet.tell(front, i.Members(i.ListKind.CACHED, (listed(0.0), *others)))
+        fleet.tell(front, i.CacheListUpdate(i.ListUpdateKind.CACHED, (listed(0.0), *others)))
         late = 200.0 * chance.random()
-        starts = i.Members(i.ListKind.CHANGES, (listed(ANEW),))
+        starts = i.CacheListUpdate(i.ListUpdateKind.CHANGES, (listed(ANEW),))
         fleet.at(ANEW + late, lambda front=front, starts=starts: fleet.tell(front, starts))  # type: ignore[misc]
     number = [0] * words.fronts
 
@@ -91,7 +91,7 @@
         number[front] += 1
         wanted = chance.randrange(1 << 32)
         fleet.began[front, number[front]] = fleet.now
-        size = SENDING * told.pace
+        size = SENDING * told.stream_rate
         fleet.tell(front, i.Pull(number[front], wanted, 0, 0, 2000.0, False, size, 3))
         fleet.at(fleet.now + 1000.0 * chance.expovariate(rate), lambda: ask(front, rate))
 
@@ -99,9 +99,9 @@
         rate = words.rate * (8.0 if front % 10 == 0 else 2.0 / 9.0)  # a tenth of the fronts has four fifths
         fleet.at(1.0 + 1000.0 * chance.expovariate(rate), lambda front=front, rate=rate: ask(front, rate))  # type: ignore[misc]
 
-    held = {front: Share(terms) for front in range(words.fronts)}
+    held = {front: FrontShares(terms) for front in range(words.fronts)}
     process = {front: f"{front}.0" for front in range(words.fronts)}
-    standing: dict[str, Grant] = {}
+    standing: dict[str, CapacityGrant] = {}
     coordinator: list[Coordinator | None] = [Coordinator(terms, 5)]
 
     def later(run: Callable[[], None]) -> None:
@@ -109,33 +109,33 @@
 
     def front_asks(front: int) -> None:
         fleet.at(fleet.now + terms.refresh, lambda: front_asks(front))
-        wishes = shares.wishes(fleet.fronts[front], fleet.now)
+        wishes = capacity_demand.slow_start_demands(fleet.fronts[front], fleet.now)
         share, name = held[front], process[front]
         if COLD not in wishes:
             return
-        one = share.ask({NAME: wishes[COLD]}, fleet.now)
+        one = share.make_report({NAME: wishes[COLD]}, fleet.now)
 
         def hear() -> None:
             if coordinator[0] is not None:
-                coordinator[0].heard(name, one, fleet.now)
+                coordinator[0].record_report(name, one, fleet.now)
 
         later(hear)
 
     def tell(front: int) -> None:
         share, now = held[front], fleet.now
-        part, ends = share.may(NAME, now), share.ends(NAME, now)
-        fleet.tell(front, i.Granted(COLD, part, max(ends - now, 0.0)))
+        part, ends = share.current_share(NAME, now), share.next_change_at(NAME, now)
+        fleet.tell(front, i.CapacityLease(COLD, part, max(ends - now, 0.0)))
 
     def share_out() -> None:
         fleet.at(fleet.now + terms.refresh, share_out)
         if coordinator[0] is None:
             return
-        for name, grant in coordinator[0].share_out(fleet.now).items():
+        for name, grant in coordinator[0].allocate(fleet.now).items():
             standing[name] = grant
             front = int(name.split(".")[0])
 
-            def take(front: int = front, name: str = name, grant: Grant = grant) -> None:
-                if process[front] == name and held[front].take(grant, fleet.now):
+            def take(front: int = front, name: str = name, grant: CapacityGrant = grant) -> None:
+                if process[front] == name and held[front].apply_grant(grant, fleet.now):
                     tell(front)
 
             later(take)
@@ -146,13 +146,13 @@
             fleet.fronts[front] = Front(seed + 7919 + front, told)
             fleet.relays = {key: value for key, value in fleet.relays.items() if key[0] != front}
             number[front] += 1_000_000
-            held[front], process[front] = Share(terms), f"{front}.1"
-            fleet.tell(front, i.Members(i.ListKind.CACHED, (listed(ANEW), *others)))
+            held[front], process[front] = FrontShares(terms), f"{front}.1"
+            fleet.tell(front, i.CacheListUpdate(i.ListUpdateKind.CACHED, (listed(ANEW), *others)))
 
     def elect() -> None:
         coordinator[0] = anew = Coordinator(terms, 9)
         for name, grant in standing.items():
-            anew.found(name, grant, fleet.now)
+            anew.record_existing_grant(name, grant, fleet.now)
 
     fleet.at(HERD, herd)
     if shared:
@@ -161,7 +161,7 @@
         for front in range(words.fronts):
             fleet.at(1.0 + terms.refresh * chance.random(), lambda front=front: front_asks(front))  # type: ignore[misc]
     fleet.play(words.seconds * 1000.0)
-    return used(fleet.seen_cold, told.fall_time)
+    return used(fleet.seen_cold, told.overload_window)
 
 
 def main() -> None:
--- a/bench/lookup.py
+++ b/bench/lookup.py
@@ -5,10 +5,10 @@
 import time
 from random import Random
 
-from cometseam.timing import Sight, Table
-from cometseam.timing.grow import Grower
-from cometseam.timing.sets import whole
-from cometseam.timing.table import ENDS, IPV4, Box
+from cometseam.timing import RouteKey, RouteTable
+from cometseam.timing.intervals import universal_box
+from cometseam.timing.table import AXIS_ENDS, IPV4_MAPPED_BASE, Box
+from cometseam.timing.tree_builder import RouteTreeBuilder
 
 SIZES = (10, 1_000, 10_000)
 
@@ -17,7 +17,7 @@
     """Make routes as operators write them: by prefix, by network, by size, and a few that reach wide."""
     held: list[Box] = []
     for _ in range(count):
-        box = list(whole())
+        box = list(universal_box())
         workload = chance.randrange(2)
         box[0] = ((workload, workload + 1),)
         kind = chance.random()
@@ -27,10 +27,10 @@
             box[1] = ((low, low + (1 << 64 - bits)),)
         if kind > 0.4:
             length = chance.choice((16, 20, 24))
-            low = IPV4 | chance.getrandbits(length) << 32 - length
+            low = IPV4_MAPPED_BASE | chance.getrandbits(length) << 32 - length
             box[5] = ((low, low + (1 << 32 - length)),)
         if kind > 0.9:
-            box[4] = ((0, chance.choice((1 << 17, 1 << 20, ENDS[4]))),)
+            box[4] = ((0, chance.choice((1 << 17, 1 << 20, AXIS_ENDS[4]))),)
         held.append(tuple(box))
     return held
 
@@ -47,21 +47,23 @@
         chance = Random(seed)
         boxes = routes(count, chance)
         began = time.perf_counter()
-        grower = Grower(boxes)
-        grower.grow()
+        grower = RouteTreeBuilder(boxes)
+        grower.build()
         grown = time.perf_counter() - began
-        table = Table(tuple(enumerate(boxes)), tuple(grower.roots), tuple(grower.nodes), tuple(grower.leaves))
+        table = RouteTable(
+            tuple(enumerate(boxes)), tuple(grower.roots), tuple(grower.nodes), tuple(grower.leaves)
+        )
         sights = [
-            Sight(chance.randrange(2), chance.getrandbits(64), 0, 0, chance.randrange(1 << 21),
-                  IPV4 | chance.getrandbits(32))
+            RouteKey(chance.randrange(2), chance.getrandbits(64), 0, 0, chance.randrange(1 << 21),
+                  IPV4_MAPPED_BASE | chance.getrandbits(32))
             for _ in range(2_000)
         ]  # fmt: skip
-        assert all(table.find(sight) == table.scan(sight) for sight in sights[:200])
+        assert all(table.find(sight) == table.find_linear(sight) for sight in sights[:200])
         scanned = sights[: max(200_000 // count, 20)]
         tree: list[float] = []
         scan: list[float] = []
         for _ in range(rounds):
-            for way, asked, out in ((table.find, sights, tree), (table.scan, scanned, scan)):
+            for way, asked, out in ((table.find, sights, tree), (table.find_linear, scanned, scan)):
                 began = time.perf_counter()
                 for sight in asked:
                     way(sight)
--- a/bench/loopback.py
+++ b/bench/loopback.py
@@ -24,7 +24,8 @@
 QUOTED = {"grids": (600.0, 1.6, 6000, 2.0), "maps": (250.0, 2.0, 3000, 1.0)}  # base, stretch, cut-off, gain
 COPY = "tag=4be0c1927d55a6f3,minted="
 PLAIN = (
-    "import cometseam.logic as l; l.CERTAIN = l.SPILL = 1e9; from cometseam.__main__ import serve; serve()"
+    "import cometseam.logic as l; l.ADMISSION_SHARE = l.SPILL_SHARE = 1e9; "
+    "from cometseam.__main__ import serve; serve()"
 )
 
 
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -15,11 +15,13 @@
 
 LISTED = tuple(line(cache) for cache in SERVERS)
 HASTY = i.Plan(
-    "hasty", time_outs=((i.Span(60.0, 1.5), None), (i.Span(200.0, 2.0), None), (None, None)), relays=3,
-    second=i.Span(30.0, 1.2),
-)  # fmt: skip
+    "hasty",
+    time_outs=((i.ScaledDuration(60.0, 1.5), None), (i.ScaledDuration(200.0, 2.0), None), (None, None)),
+    relays=3,
+    second=i.ScaledDuration(30.0, 1.2),
+)
 SLOWED = 12  # the cache whose sending is slowed tenfold
-PACE = SETTINGS.pace
+PACE = SETTINGS.stream_rate
 
 
 def slowed(now: float, relay: i.Relay, pull: i.Pull, chance: Random) -> Said:
@@ -91,7 +93,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=8)
     seeds = range(1, parser.parse_args().seeds + 1)
-    terms = i.Allowance("front", 0.05, 5_000.0, 5.0)
+    terms = i.RetryBudgetTerms("front", 0.05, 5_000.0, 5.0)
     none, budget = i.Plans((i.Plan("own"),)), i.Plans((i.Plan("own"),), (), terms)
     print(f"{'one cache slowed tenfold':34}    none    plan  difference by seed ({len(seeds)} seeds)")
     one = [day(none, slowed, seed, 40_000.0, 0.05) for seed in seeds]
--- a/bench/relays.py
+++ b/bench/relays.py
@@ -35,7 +35,7 @@
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
         """Count what the event tells, then what the module does."""
         count = TALLY.counts
-        if isinstance(event, i.Ended) and event.id in self.mine:
+        if isinstance(event, i.RelayEnded) and event.id in self.mine:
             kind, quoted_by = self.mine.pop(event.id)
             if event.outcome is i.Outcome.OK:
                 count[f"{kind} {'in time' if now <= quoted_by else 'late'}"] += 1
@@ -47,25 +47,27 @@
         actions = super().handle(now, event)
         for action in actions:
             if isinstance(action, i.Relay):
-                held = self.held[action.id]
+                held = self.pending[action.id]
                 kind = "look" if action.source == action.cache else "fill"
-                if action.only_held:  # the parents in the order of the hash, those of the hub first
+                if action.only_cached:  # the parents in the order of the hash, those of the hub first
                     order = [
-                        parent.told.cache
+                        parent.entry.cache
                         for group in self.parents
-                        for parent in sorted(group, key=lambda e: -self._draw(held.wanted, e))
+                        for parent in sorted(group, key=lambda e: -self._draw(held.part_key, e))
                     ]
                     place = order.index(action.source)
                     kind = "held" if place > 1 else ("held by first", "held by second")[place]
-                if self.origin is not None and action.source == self.origin.told.cache:
+                if self.origin is not None and action.source == self.origin.entry.cache:
                     kind = "fetch"
-                if held.way.stale:
+                if held.candidate.allow_stale:
                     kind = "ageing " + kind
                 if held.failures:
                     kind += "+"
-                quoted = held.workload.quoted + held.workload.stretch * held.sending
-                taken = held.cut_off - held.pull.left
-                self.mine[action.id] = (kind, taken + min(quoted, held.pull.left))
+                quoted = (
+                    held.workload.target_latency + held.workload.target_latency_factor * held.sending_time
+                )
+                taken = held.deadline - held.pull.time_left
+                self.mine[action.id] = (kind, taken + min(quoted, held.pull.time_left))
                 count[f"{kind} sent"] += 1
             elif isinstance(action, i.Shed):
                 count["shed"] += 1
--- a/bench/schedules.py
+++ b/bench/schedules.py
@@ -1,6 +1,6 @@
 """Generated fault schedules in bulk, on the shipped decisions, over all cores: not run by CI.
 
-Ownership: seeded walks of three fronts (`ownership.explore.wander`), each a schedule of time passing,
+Ownership: seeded walks of three fronts (`ownership.explore.random_walks`), each a schedule of time passing,
 campaigns, renewals, lost answers and effects that land late or never. Limits: seeded plays of a fleet with
 links cut, fronts and coordinators paused and killed (`tests.test_limits.hurt`). Prints how many broke what
 must hold, and their seeds.
@@ -12,18 +12,18 @@
 import os
 from concurrent.futures import ProcessPoolExecutor
 
-from cometseam.ownership import Terms
-from cometseam.ownership.explore import wander
+from cometseam.ownership import OwnershipTerms
+from cometseam.ownership.explore import random_walks
 from tests.test_limits import hurt
 
-TERMS = Terms(400.0, 0.0, 0.0, 100.0, 50.0)
+TERMS = OwnershipTerms(400.0, 0.0, 0.0, 100.0, 50.0)
 BLOCK = 250  # walks a seed
 
 
 def walks(seed: int) -> tuple[int, int, bool]:
     """One block of walks; return its seed, the states that it came through, and whether something broke."""
-    found = wander(TERMS, fronts=3, walks=BLOCK, length=60, seed=seed)
-    return seed, found.states, found.fenced is not None or found.alone is not None
+    found = random_walks(TERMS, fronts=3, walks=BLOCK, length=60, seed=seed)
+    return seed, found.states, found.fencing_violation is not None or found.exclusivity_violation is not None
 
 
 def play(seed: int) -> tuple[int, float]:
--- a/cometseam/__main__.py
+++ b/cometseam/__main__.py
@@ -8,7 +8,7 @@
 def main() -> int:
     """Serve; the command line is imported only where there is one, since serving needs none of it."""
     if len(sys.argv) == 1:
-        signals.hold()
+        signals.install_handlers()
         from cometseam.serving import serve  # takes a while, in which signals may come
 
         return serve()
--- a/cometseam/cli/loading.py
+++ b/cometseam/cli/loading.py
@@ -8,71 +8,72 @@
 
 import typer
 
-from cometseam.config import VARIABLE
-from cometseam.operator import Refused
-from cometseam.operator.load import Loaded, load, load_apart
-from cometseam.reading import Faulty, Section
-from cometseam.settings import read_links, read_names, read_settings
+from cometseam.config import CONFIG_VARIABLE
+from cometseam.json_section import FieldError, Section
+from cometseam.operator import OperatorFileError
+from cometseam.operator.load import LoadedFile, load, load_in_child
+from cometseam.settings import read_name_tables, read_network_settings, read_settings
 
-File = Annotated[Path, typer.Argument(help="The operator's file, Jsonnet.")]
-Against = Annotated[
+FileArgument = Annotated[Path, typer.Argument(help="The operator's file, Jsonnet.")]
+ConfigOption = Annotated[
     Path | None,
     typer.Option(help="The platform's configuration; else what ROUTER_CONFIG names, else the sample's."),
 ]
-AsJson = Annotated[bool, typer.Option("--json", help="Print JSON, for programs.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON, for programs.")]
 
 
-def unusable(text: str) -> NoReturn:
+def exit_with_error(text: str) -> NoReturn:
     """End with one line and status 2."""
     print(f"cometseam: {text}", file=sys.stderr)
     raise typer.Exit(2)
 
 
-def settings_of(against: Path | None) -> dict[str, Any]:
+def load_settings(against: Path | None) -> dict[str, Any]:
     """Return the object of settings that a file is checked against."""
-    path = against or Path(os.environ.get(VARIABLE, "") or "deploy/sample.json")
+    path = against or Path(os.environ.get(CONFIG_VARIABLE, "") or "deploy/sample.json")
     try:
         section = Section(json.loads(path.read_bytes())).section("settings")
-        for read in (read_settings, read_names, read_links):
+        for read in (read_settings, read_name_tables, read_network_settings):
             read(section)
     except OSError as error:
-        unusable(f"{path}: {error.strerror}")
-    except (Faulty, ValueError, RecursionError) as error:
-        unusable(f"{path}: {error}")
+        exit_with_error(f"{path}: {error.strerror}")
+    except (FieldError, ValueError, RecursionError) as error:
+        exit_with_error(f"{path}: {error}")
     return section.values
 
 
-def load_file(file: Path, against: Path | None, as_json: bool, refused_is: int = 2) -> Loaded:
+def load_file(file: Path, against: Path | None, as_json: bool, invalid_exit_status: int = 2) -> LoadedFile:
     """Load a file, or end with its faults told; first apart, as a front does: it may loop."""
-    settings = settings_of(against)
+    settings = load_settings(against)
     try:
         if not file.is_file():
-            unusable(f"{file}: no such file")
-        load_apart(file, settings)
+            exit_with_error(f"{file}: no such file")
+        load_in_child(file, settings)
         return load(file, settings)
-    except Refused as refused:
+    except OperatorFileError as refused:
         if as_json:
             faults = [
-                {"path": fault.path, "reason": fault.reason, "place": fault.place} for fault in refused.faults
+                {"path": fault.path, "reason": fault.reason, "place": fault.location}
+                for fault in refused.faults
             ]
             print(json.dumps({"good": False, "faults": faults}))
         else:
             for fault in refused.faults:
                 print(fault, file=sys.stderr)
-        raise typer.Exit(refused_is) from refused
+        raise typer.Exit(invalid_exit_status) from refused
 
 
-def write_sealed(path: Path, loaded: Loaded, settings: dict[str, Any]) -> None:
+def write_compiled_file(path: Path, loaded: LoadedFile, settings: dict[str, Any]) -> None:
     """Write the sealed form of a checked file, whole or not at all; a name not in .json is refused."""
-    from cometseam.operator.compiled import write
-    from cometseam.operator.sealed import SUFFIX, seal
+    from cometseam.operator.compiled import encode_compiled
+    from cometseam.operator.compiled_file import COMPILED_FILE_SUFFIX, encode_compiled_file
 
-    if not path.name.endswith(SUFFIX):
-        unusable(f"--seal {path}: a front takes a sealed form by a name in {SUFFIX}")
-    text = seal(write(loaded.compiled, loaded.networks), settings)
+    if not path.name.endswith(COMPILED_FILE_SUFFIX):
+        exit_with_error(f"--seal {path}: a front takes a sealed form by a name in {COMPILED_FILE_SUFFIX}")
+    text = encode_compiled_file(encode_compiled(loaded.compiled, loaded.network_intervals), settings)
     part = path.with_name(f".{path.name}.part")
     try:
         part.write_bytes(text)
         os.replace(part, path)
     except OSError as error:
-        unusable(f"--seal {path}: {error.strerror}")
+        exit_with_error(f"--seal {path}: {error.strerror}")
--- a/cometseam/cli/main.py
+++ b/cometseam/cli/main.py
@@ -9,11 +9,19 @@
 import typer
 
 from cometseam.cli.levels import app as levels_app
-from cometseam.cli.loading import Against, AsJson, File, load_file, settings_of, unusable, write_sealed
-from cometseam.cli.show import explained, rendered
+from cometseam.cli.loading import (
+    ConfigOption,
+    FileArgument,
+    JsonOption,
+    exit_with_error,
+    load_file,
+    load_settings,
+    write_compiled_file,
+)
+from cometseam.cli.show import explain_route, render_plans
 from cometseam.cli.soak import soak
-from cometseam.config import FORM_VARIABLE, OPERATOR_VARIABLE
-from cometseam.timing.table import Sight, whole_address, whole_size
+from cometseam.config import LOG_FORMAT_VARIABLE, OPERATOR_VARIABLE
+from cometseam.timing.table import RouteKey, address_number, size_in_bytes
 
 app = typer.Typer(
     name="cometseam", no_args_is_help=True, pretty_exceptions_enable=False, rich_markup_mode=None,
@@ -24,7 +32,7 @@
 app.command()(soak)
 
 
-class Form(StrEnum):
+class LogFormat(StrEnum):
     """How log lines look."""
 
     TEXT = "text"
@@ -34,7 +42,7 @@
 @app.command()
 def serve(
     operator: Annotated[Path | None, typer.Option(help="The operator's file.")] = None,
-    log_format: Annotated[Form | None, typer.Option(help="How log lines look.")] = None,
+    log_format: Annotated[LogFormat | None, typer.Option(help="How log lines look.")] = None,
 ) -> None:
     """Run a front until SIGTERM, as `python -m cometseam` alone does."""
     from cometseam.serving import serve as run
@@ -42,15 +50,15 @@
     if operator is not None:
         os.environ[OPERATOR_VARIABLE] = str(operator)
     if log_format is not None:
-        os.environ[FORM_VARIABLE] = str(log_format)
+        os.environ[LOG_FORMAT_VARIABLE] = str(log_format)
     raise typer.Exit(run())
 
 
 @app.command()
 def check(
-    file: File,
-    against: Against = None,
-    as_json: AsJson = False,
+    file: FileArgument,
+    against: ConfigOption = None,
+    as_json: JsonOption = False,
     seal: Annotated[
         Path | None,
         typer.Option(help="Write the sealed form here, for fronts that may start no child: a name in .json."),
@@ -61,10 +69,10 @@
     Status 1 where it may not be loaded. With `--seal`, the checked file is written in the form that a front
     reads in its own process; it is replaced whole or not at all.
     """
-    loaded = load_file(file, against, as_json, refused_is=1)
+    loaded = load_file(file, against, as_json, invalid_exit_status=1)
     compiled = loaded.compiled
     if seal is not None:
-        write_sealed(seal, loaded, settings_of(against))
+        write_compiled_file(seal, loaded, load_settings(against))
     told = {
         "good": True,
         "digest": compiled.digest,
@@ -78,10 +86,10 @@
 
 
 @app.command()
-def render(file: File, against: Against = None, as_json: AsJson = False) -> None:
+def render(file: FileArgument, against: ConfigOption = None, as_json: JsonOption = False) -> None:
     """Print the plans with defaults filled in, and where each value came from."""
     loaded = load_file(file, against, as_json)
-    told = rendered(loaded.compiler)
+    told = render_plans(loaded.compiler)
     if as_json:
         print(json.dumps(told, indent=1))
         return
@@ -93,15 +101,15 @@
 
 @app.command()
 def explain(
-    file: File,
+    file: FileArgument,
     workload: Annotated[str, typer.Option(help="The pull's workload.")],
     object: Annotated[str, typer.Option(help="The object, 1 to 16 hex digits.")],
     kb: Annotated[float, typer.Option(help="The size of the part in KB.")],
     from_: Annotated[str, typer.Option("--from", help="The client's address.")] = "127.0.0.1",
     group: Annotated[int, typer.Option(help="The object's group.")] = 0,
     part: Annotated[int, typer.Option(help="The part of the object.")] = 0,
-    against: Against = None,
-    as_json: AsJson = False,
+    against: ConfigOption = None,
+    as_json: JsonOption = False,
 ) -> None:
     """Tell which route a pull takes, why not an earlier one, and its relays step by step with their times.
 
@@ -110,20 +118,20 @@
     loaded = load_file(file, against, as_json)
     names = loaded.compiler.platform.names.workloads
     if workload not in names:
-        unusable(f"--workload: the settings have no {workload!r}; they have {', '.join(names)}")
+        exit_with_error(f"--workload: the settings have no {workload!r}; they have {', '.join(names)}")
     try:
         number = int(object.ljust(16, "0"), 16) if 0 < len(object) <= 16 else -1
     except ValueError:
         number = -1
     if number < 0:
-        unusable(f"--object: 1 to 16 hex digits were expected, not {object!r}")
-    address = whole_address(from_)
+        exit_with_error(f"--object: 1 to 16 hex digits were expected, not {object!r}")
+    address = address_number(from_)
     if not address:
-        unusable(f"--from: an address was expected, not {from_!r}")
+        exit_with_error(f"--from: an address was expected, not {from_!r}")
     if not 0.0 <= kb < 1e9 or group < 0 or part < 0:
-        unusable("--kb, --group and --part: at least 0 was expected")
-    sight = Sight(names.index(workload), number, group, part, whole_size(kb), address)
-    told = explained(loaded, sight, kb)
+        exit_with_error("--kb, --group and --part: at least 0 was expected")
+    sight = RouteKey(names.index(workload), number, group, part, size_in_bytes(kb), address)
+    told = explain_route(loaded, sight, kb)
     if as_json:
         print(json.dumps(told, indent=1))
     else:
--- a/cometseam/cli/show.py
+++ b/cometseam/cli/show.py
@@ -2,14 +2,14 @@
 
 from typing import Any
 
-from cometseam.interface import Allowance, Kind, Plan
-from cometseam.operator.compile import ANYWHERE, Compiler, Entry
-from cometseam.operator.load import Loaded
-from cometseam.operator.networks import told as addresses
-from cometseam.timing.pace import longest_wait, spread
-from cometseam.timing.prove import KINDS, NAMES
-from cometseam.timing.sets import Intervals
-from cometseam.timing.table import AXES, ENDS, KB, Sight, holds
+from cometseam.interface import Plan, RelayKind, RetryBudgetTerms
+from cometseam.operator.compile import BUILT_IN_DEFAULT, Compiler, RouteEntry
+from cometseam.operator.load import LoadedFile
+from cometseam.operator.networks import format_intervals as addresses
+from cometseam.timing.intervals import Intervals
+from cometseam.timing.retry_policy import max_retry_wait, scaled_duration
+from cometseam.timing.table import AXES, AXIS_ENDS, BYTES_PER_KB, RouteKey, any_contains
+from cometseam.timing.validate import OUTCOME_NAMES, RELAY_KIND_NAMES
 
 OWN = "as the module decides"
 
@@ -17,14 +17,14 @@
 def _leaves(plan: Plan) -> dict[str, Any]:
     """Return the leaves of a plan by their key in the file."""
     out: dict[str, Any] = {}
-    for kind in Kind:
+    for kind in RelayKind:
         for place, name in enumerate(("first", "further")):
             span = plan.time_outs[kind][place]
             if span is not None:
                 text = f"{span.base:g}ms + {span.part:g} of its sending time"
             else:
                 text = OWN if place == 0 or plan.time_outs[kind][0] is None else "as first"
-            out[f"time_outs.{KINDS[kind]}.{name}"] = text
+            out[f"time_outs.{RELAY_KIND_NAMES[kind]}.{name}"] = text
     out["relays"] = plan.relays or OWN
     jitter = f", jitter {plan.jitter:g}"
     out["wait"] = (
@@ -34,27 +34,29 @@
     )
     second = plan.second
     out["second"] = f"after {second.base:g}ms + {second.part:g} of its sending time" if second else "none"
-    out["retry_on"] = "all" if plan.worth is None else ", ".join(sorted(NAMES[word] for word in plan.worth))
+    out["retry_on"] = (
+        "all" if plan.worth is None else ", ".join(sorted(OUTCOME_NAMES[word] for word in plan.worth))
+    )
     terms = plan.allowance
     out["budget"] = f"{terms.name}: {_allows(terms)}" if terms else "none"
     out["later"] = f"{plan.come_back_in:g}ms" if plan.come_back_in else "the workload's quoted time"
     return out
 
 
-def _allows(terms: Allowance) -> str:
+def _allows(terms: RetryBudgetTerms) -> str:
     fleet = f", the fleet {terms.fleet:g} at most" if terms.fleet else ""
     return f"{terms.share:g} of first relays in {terms.window:g}ms, {terms.floor:g} at least{fleet}"
 
 
-def _from(entry: Entry, key: str) -> str:
+def _from(entry: RouteEntry, key: str) -> str:
     while key:
-        if key in entry.origins:
-            return entry.origins[key]
+        if key in entry.value_sources:
+            return entry.value_sources[key]
         key = key.rpartition(".")[0]
-    return ANYWHERE
+    return BUILT_IN_DEFAULT
 
 
-def rendered(compiler: Compiler) -> list[dict[str, Any]]:
+def render_plans(compiler: Compiler) -> list[dict[str, Any]]:
     """Return each entry with all its values and where each came from."""
     names = compiler.platform.names.workloads
     return [
@@ -79,13 +81,14 @@
         return ", ".join(f"{low:016x}-{high - 1:016x}" for low, high in intervals[:3])
     if AXES[axis] == "size":
         return ", ".join(
-            f"{low / KB:g} KB" + ("" if high == ENDS[axis] else f" to {high / KB:g} KB")
+            f"{low / BYTES_PER_KB:g} KB"
+            + ("" if high == AXIS_ENDS[axis] else f" to {high / BYTES_PER_KB:g} KB")
             for low, high in intervals
         )
     return ", ".join(f"{low}" if high == low + 1 else f"{low}-{high - 1}" for low, high in intervals[:3])
 
 
-def explained(loaded: Loaded, sight: Sight, kb: float) -> dict[str, Any]:
+def explain_route(loaded: LoadedFile, sight: RouteKey, kb: float) -> dict[str, Any]:
     """Return the route taken, why the earlier ones did not match, and the longest course of the relays."""
     compiler: Compiler = loaded.compiler
     table, names = loaded.compiled.table, compiler.platform.names.workloads
@@ -96,18 +99,18 @@
         why = next(
             f"{AXES[axis]} is not in {_wanted(axis, intervals, names)}"
             for axis, intervals in enumerate(entry.box)
-            if not holds(intervals, sight[axis])
+            if not any_contains(intervals, sight[axis])
         )
         passed.append({"route": entry.name, "why": why})
     steps: list[dict[str, Any]] = []
     budgets: dict[str, str] = {}
     if found >= 0:
         plan = compiler.entries[found].plan
-        steps = course(plan, compiler, sight.workload, kb)
+        steps = worst_case_steps(plan, compiler, sight.workload, kb)
         plans = loaded.compiled.plans
-        network = table.network(sight.address)
-        theirs = plans.networks[network] if network >= 0 else None
-        for terms in (plans.front, theirs, plan.allowance):
+        network = table.find_network(sight.address)
+        theirs = plans.network_budgets[network] if network >= 0 else None
+        for terms in (plans.front_budget, theirs, plan.allowance):
             if terms is not None:
                 budgets[terms.name] = _allows(terms)
     return {
@@ -118,12 +121,12 @@
     }
 
 
-def course(plan: Plan, compiler: Compiler, workload: int, kb: float) -> list[dict[str, Any]]:
+def worst_case_steps(plan: Plan, compiler: Compiler, workload: int, kb: float) -> list[dict[str, Any]]:
     """Return the longest course of a pull: each relay up to its time-out, each wait at its longest."""
     settings = compiler.platform.settings
     rules = settings.workloads[workload]
-    sending = kb / settings.pace if settings.pace else 0.0
-    quoted = min(rules.quoted + rules.stretch * sending, rules.cut_off)
+    sending = kb / settings.stream_rate if settings.stream_rate else 0.0
+    quoted = min(rules.target_latency + rules.target_latency_factor * sending, rules.deadline)
     steps: list[dict[str, Any]] = []
     at = 0.0
 
@@ -131,24 +134,24 @@
         steps.append({"from": round(at, 3), "what": what})
 
     for number in range(plan.relays or settings.relay_limit):
-        if number and (rest := longest_wait(plan, number)):
+        if number and (rest := max_retry_wait(plan, number)):
             step(f"wait up to {rest:g} ms")
             at += rest
-        if at + sending > rules.cut_off:
+        if at + sending > rules.deadline:
             step("given up at once: nothing could come before the cut-off")
             return steps
         times = []
-        for kind in Kind:
+        for kind in RelayKind:
             span = plan.time_outs[kind][int(number > 0)] or plan.time_outs[kind][0]
             if span is not None:
-                times.append((spread(span, sending), KINDS[kind]))
+                times.append((scaled_duration(span, sending), RELAY_KIND_NAMES[kind]))
         told = ", ".join(f"{name} until {at + time:g}" for time, name in times) or f"time-outs {OWN}"
         step(f"relay {number + 1}: {told}")
         if plan.second is not None and number + 1 < (plan.relays or settings.relay_limit):
-            after = spread(plan.second, sending)
+            after = scaled_duration(plan.second, sending)
             step(f"  given up at {at + after:g} for a second copy elsewhere, where one may go")
         if not times:
             break
         at += max(time for time, _ in times)
-    step(f"at the latest; quoted time {quoted:g} ms, cut-off {rules.cut_off:g} ms, sending {sending:g} ms")
+    step(f"at the latest; quoted time {quoted:g} ms, cut-off {rules.deadline:g} ms, sending {sending:g} ms")
     return steps
--- a/cometseam/config.py
+++ b/cometseam/config.py
@@ -7,14 +7,20 @@
 from typing import Any
 
 from cometseam.interface import Settings
-from cometseam.protocol.changelog import Change, Unusable, read_address, read_changes
-from cometseam.reading import Faulty, Section
-from cometseam.settings import Links, Names, read_links, read_names, read_settings
+from cometseam.json_section import FieldError, Section
+from cometseam.protocol.discovery_events import DiscoveryEvent, UnusableEvent, read_address, read_events
+from cometseam.settings import (
+    NameTables,
+    NetworkSettings,
+    read_name_tables,
+    read_network_settings,
+    read_settings,
+)
 
-VARIABLE, LOG_VARIABLE, FORM_VARIABLE = "ROUTER_CONFIG", "COMETSEAM_LOG", "COMETSEAM_LOG_FORMAT"
+CONFIG_VARIABLE, LOG_VARIABLE, LOG_FORMAT_VARIABLE = "ROUTER_CONFIG", "COMETSEAM_LOG", "COMETSEAM_LOG_FORMAT"
 TRACE_VARIABLE = "COMETSEAM_TRACE"  # off, wrong or all: which pulls' trails are logged
 OPERATOR_VARIABLE = "COMETSEAM_OPERATOR"
-LOG_FORMS = {"text": "text", "json": "json"}
+LOG_FORMATS = {"text": "text", "json": "json"}
 LOG_LEVELS = {level: level for level in ("DEBUG", "INFO", "WARNING", "ERROR")}
 TRACES = {mode: mode for mode in ("off", "wrong", "all")}
 # Clients hold a third of the descriptors at most: half leaves place for those that only hold connections.
@@ -28,20 +34,21 @@
     name: str
     listen: tuple[str, int]
     seed: int
-    memory: int  # bytes that the process may take
-    clients: int  # connections of clients at most
-    peers: int  # connections to peers at most
-    changelog: tuple[str, int]
-    last: int
-    known: tuple[Change, ...]
+    memory_limit: int  # bytes that the process may take
+    max_clients: int  # connections of clients at most
+    max_peers: int  # connections to peers at most
+    discovery_address: tuple[str, int]
+    last_seq: int
+    initial_events: tuple[DiscoveryEvent, ...]
     settings: Settings
-    names: Names
-    links: Links
+    names: NameTables
+    links: NetworkSettings
     log_level: str
-    log_form: str
-    trace: str  # which pulls' trails are logged: off, wrong, all
-    operator: Path | None  # the operator's file
-    told: dict[str, Any]  # the settings as they were given: what the operator's file is checked against
+    log_format: str
+    trace_mode: str  # which pulls' trails are logged: off, wrong, all
+    operator_file: Path | None  # the operator's file
+    # The settings as they were given: what the operator's file is checked against.
+    raw_settings: dict[str, Any]
 
     def needs_restart(self, new: "Config") -> list[str]:
         """Tell the keys in which a new configuration differs and that are read at the start only."""
@@ -51,17 +58,17 @@
 
 
 def read_config() -> Config:
-    """Read the file that the environment names; what is wrong is `Faulty`, and its text names the key."""
-    path = os.environ.get(VARIABLE, "")
+    """Read the file that the environment names; what is wrong is `FieldError`, and its text names the key."""
+    path = os.environ.get(CONFIG_VARIABLE, "")
     if not path:
-        raise Faulty(f"{VARIABLE}: not set; it names the configuration's file")
+        raise FieldError(f"{CONFIG_VARIABLE}: not set; it names the configuration's file")
     try:
         with open(path, "rb") as file:
             raw = json.loads(file.read())
     except OSError as error:
-        raise Faulty(f"{VARIABLE}: {path}: {error.strerror}") from error
+        raise FieldError(f"{CONFIG_VARIABLE}: {path}: {error.strerror}") from error
     except (ValueError, RecursionError) as error:
-        raise Faulty(f"{VARIABLE}: {path}: not JSON: {error}") from error
+        raise FieldError(f"{CONFIG_VARIABLE}: {path}: not JSON: {error}") from error
     return decode(Section(raw), Section(dict(os.environ)))
 
 
@@ -72,30 +79,30 @@
     try:
         seed_number = int(seed, 16)
     except ValueError:
-        raise Faulty(f"seed: hex digits were expected, not {seed[:40]!r}") from None
-    sockets = limits.whole("sockets", 1024, low=32)
-    memory = limits.number("memory_mb", 192.0, low=24) * (1 << 20)
-    names = read_names(settings)
-    changes = read_changes(known, names)
+        raise FieldError(f"seed: hex digits were expected, not {seed[:40]!r}") from None
+    sockets = limits.integer("sockets", 1024, minimum=32)
+    memory = limits.number("memory_mb", 192.0, minimum=24) * (1 << 20)
+    names = read_name_tables(settings)
+    changes = read_events(known, names)
     for change in changes:
-        if isinstance(change, Unusable):
-            raise Faulty(change.why)
+        if isinstance(change, UnusableEvent):
+            raise FieldError(change.reason)
     return Config(
         name=top.text("name"),
         listen=read_address(top, "listen"),
         seed=seed_number,
-        memory=int(memory),
-        clients=sockets // CLIENTS_PART,
-        peers=sockets // PEERS_PART,
-        changelog=read_address(top, "changelog"),
-        last=known.whole("seq", low=0),
-        known=tuple(changes),
+        memory_limit=int(memory),
+        max_clients=sockets // CLIENTS_PART,
+        max_peers=sockets // PEERS_PART,
+        discovery_address=read_address(top, "changelog"),
+        last_seq=known.integer("seq", minimum=0),
+        initial_events=tuple(changes),
         settings=read_settings(settings),
         names=names,
-        links=read_links(settings),
+        links=read_network_settings(settings),
         log_level=environment.one_of(LOG_VARIABLE, LOG_LEVELS, "INFO"),
-        log_form=environment.one_of(FORM_VARIABLE, LOG_FORMS, "text"),
-        trace=environment.one_of(TRACE_VARIABLE, TRACES, "off"),
-        operator=Path(path) if (path := environment.text(OPERATOR_VARIABLE, "")) else None,
-        told=settings.values,
+        log_format=environment.one_of(LOG_FORMAT_VARIABLE, LOG_FORMATS, "text"),
+        trace_mode=environment.one_of(TRACE_VARIABLE, TRACES, "off"),
+        operator_file=Path(path) if (path := environment.text(OPERATOR_VARIABLE, "")) else None,
+        raw_settings=settings.values,
     )
--- a/cometseam/coordination/agent.py
+++ b/cometseam/coordination/agent.py
@@ -1,11 +1,11 @@
 """A front's hold on fleet work, as a process of its own for the tests and for installations that allow it.
 
-It holds one task on the coordination service (`Holder`), or with `--tasks` takes part in several (`Crew`),
-and, while the owner's clock says that it may act, sends an effect every `--every-ms` to a target over TCP:
-`EFFECT task token name number`, answered `OK highest` or `STALE highest`. The answer is what the target's
-fence said; a refusal is logged and ends nothing (the target, not the owner, judges). `--members N` has the
-process stand for N fronts with a connection each. On the fleet's bench no front talks to another, so `run`
-never starts this.
+It holds one task on the coordination service (`TaskHolder`), or with `--tasks` takes part in several
+(`TaskOwners`), and, while the owner's clock says that it may act, sends an effect every `--every-ms` to a
+target over TCP: `EFFECT task token name number`, answered `OK highest` or `STALE highest`. The answer is what
+the target's fence said; a refusal is logged and ends nothing (the target, not the owner, judges).
+`--members N` has the process stand for N fronts with a connection each. On the fleet's bench no front talks
+to another, so `run` never starts this.
 
     python -m cometseam.coordination.agent --etcd 127.0.0.1:2379 --target 127.0.0.1:7000 --task probe \
         --name f1
@@ -21,46 +21,48 @@
 import anyio
 from anyio.abc import ByteStream, TaskGroup
 
-from cometseam.coordination.crew import Crew
-from cometseam.coordination.elect import Holder, Place, boot_time, connect
-from cometseam.ownership import Refused, Terms
+from cometseam.coordination.election import ServiceAddress, TaskHolder, boot_time, connect
+from cometseam.coordination.task_owners import TaskOwners
+from cometseam.ownership import OwnershipTerms, OwnershipTermsError
 
 
 class Clock:
     """The clock of leases, which a test may have jump."""
 
     def __init__(self) -> None:
-        self.ahead = 0.0  # ms
+        self.offset_ms = 0.0  # ms
 
     def now(self) -> float:
         """Tell the time in ms."""
-        return boot_time() + self.ahead
+        return boot_time() + self.offset_ms
 
-    async def jump(self, by: float) -> None:
+    async def handle_jump_signals(self, by: float) -> None:
         """Jump when a signal says so: SIGUSR1 forward, SIGUSR2 back."""
         with anyio.open_signal_receiver(signal.SIGUSR1, signal.SIGUSR2) as signals:
             async for number in signals:
-                self.ahead += by if number == signal.SIGUSR1 else -by
+                self.offset_ms += by if number == signal.SIGUSR1 else -by
 
 
-class Acting:
+class EffectSender:
     """Sends the effects of one front's tasks to the target; reconnects when the link fails."""
 
-    def __init__(self, name: str, target: Place, every_ms: float, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, name: str, target: ServiceAddress, every_ms: float, clock: Callable[[], float]
+    ) -> None:
         self.name, self.target, self.every_ms, self.clock = name, target, every_ms, clock
         self._stream: ByteStream | None = None
         self._number = 0
 
-    async def run(self, holders: Callable[[], list[Holder]]) -> None:
+    async def run(self, holders: Callable[[], list[TaskHolder]]) -> None:
         """Send one effect for each task that may be acted for, every `every_ms`."""
         while True:
             await anyio.sleep(self.every_ms / 1000.0)
             for holder in holders():
-                if holder.owner.may_act(self.clock()):
+                if holder.ownership.may_act(self.clock()):
                     await self._send(holder)
 
-    async def _send(self, holder: Holder) -> None:
-        owner = holder.owner
+    async def _send(self, holder: TaskHolder) -> None:
+        owner = holder.ownership
         self._number += 1
         line = f"EFFECT {owner.task} {owner.token} {self.name} {self._number}\n".encode()
         try:
@@ -75,22 +77,22 @@
             print(f"refused {owner.task} token={owner.token} {answer.decode().strip()}", flush=True)
 
 
-def _say(holder: Holder) -> None:
-    for change in holder.owner.drain():
-        task = holder.owner.task
-        print(f"state {change.after.value} task={task} token={change.token} why={change.why}", flush=True)
+def _say(holder: TaskHolder) -> None:
+    for change in holder.ownership.pop_changes():
+        task = holder.ownership.task
+        print(f"state {change.after.value} task={task} token={change.token} why={change.reason}", flush=True)
 
 
-def _terms(words: argparse.Namespace) -> Terms:
-    return Terms(words.ttl_ms, words.margin_ms, words.drift, words.renew_ms, words.round_trip_ms)
+def _terms(words: argparse.Namespace) -> OwnershipTerms:
+    return OwnershipTerms(words.ttl_ms, words.margin_ms, words.drift, words.renew_ms, words.round_trip_ms)
 
 
 async def _alone(words: argparse.Namespace, clock: Clock, group: TaskGroup) -> None:
     terms = _terms(words)
-    async with connect(Place.parse(words.etcd), terms) as client:
-        holder = Holder(client, words.task, words.name, terms, clock.now, look_first=not words.no_look)
+    async with connect(ServiceAddress.parse(words.etcd), terms) as client:
+        holder = TaskHolder(client, words.task, words.name, terms, clock.now, read_first=not words.no_look)
         group.start_soon(holder.run)
-        acting = Acting(words.name, Place.parse(words.target), words.every_ms, clock.now)
+        acting = EffectSender(words.name, ServiceAddress.parse(words.target), words.every_ms, clock.now)
         group.start_soon(acting.run, lambda: [holder])
         print(f"ready {words.name}", flush=True)
         while True:
@@ -100,18 +102,18 @@
 
 async def _member(words: argparse.Namespace, name: str, clock: Clock) -> None:
     terms = _terms(words)
-    async with connect(Place.parse(words.etcd), terms) as client, anyio.create_task_group() as group:
+    async with connect(ServiceAddress.parse(words.etcd), terms) as client, anyio.create_task_group() as group:
         tasks = {task: terms for task in words.tasks.split(",")}
-        crew = Crew(client, name, tasks, words.refresh_ms, clock.now, _say, words.spread_ms)
+        crew = TaskOwners(client, name, tasks, words.refresh_ms, clock.now, _say, words.spread_ms)
         group.start_soon(crew.run)
-        acting = Acting(name, Place.parse(words.target), words.every_ms, clock.now)
-        group.start_soon(acting.run, crew.held)
+        acting = EffectSender(name, ServiceAddress.parse(words.target), words.every_ms, clock.now)
+        group.start_soon(acting.run, crew.active_holders)
 
 
 async def main_async(words: argparse.Namespace) -> None:
     clock = Clock()
     async with anyio.create_task_group() as group:
-        group.start_soon(clock.jump, words.jump_ms)
+        group.start_soon(clock.handle_jump_signals, words.jump_ms)
         if not words.tasks:
             await _alone(words, clock, group)
         for number in range(words.members):
@@ -143,7 +145,7 @@
     words = parser.parse_args()
     try:
         _terms(words).check()
-    except Refused as error:
+    except OwnershipTermsError as error:
         print(f"cometseam: {error}", file=sys.stderr)
         return 2
     try:
--- a/cometseam/coordination/elect.py
+++ b/cometseam/coordination/election.py
@@ -1,9 +1,9 @@
 """Holding a task on etcd's v3 API, through the `aetcd` client under anyio: campaign, renew, watch who holds
 it.
 
-The decisions are `cometseam.ownership.Owner`'s; this file only asks the service and tells the machine what it
-saw, with the time each request was *sent* (the lease is counted from then, never from when the answer came).
-A campaign is one transaction (etcd's published Txn): if the task's key has never been created
+The decisions are `cometseam.ownership.Ownership`'s; this file only asks the service and tells the machine
+what it saw, with the time each request was *sent* (the lease is counted from then, never from when the answer
+came). A campaign is one transaction (etcd's published Txn): if the task's key has never been created
 (`create_revision == 0`), put it with this front's lease, else read who holds it. The fencing token is the
 revision at which the key was created; a later owner's key is created later, so its token is higher.
 
@@ -20,7 +20,7 @@
 import aetcd
 import anyio
 
-from cometseam.ownership import Owner, State, Terms
+from cometseam.ownership import Ownership, OwnershipTerms, State
 
 Clock = Callable[[], float]  # ms, monotonic
 UNANSWERED: Any = object()  # what `_ask` returns for a request that failed or took too long
@@ -36,31 +36,31 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class ServiceAddress:
     """Where the service is, as `host:port` on loopback or a fleet's address."""
 
     host: str
     port: int
 
     @classmethod
-    def parse(cls, text: str) -> "Place":
+    def parse(cls, text: str) -> "ServiceAddress":
         host, _, port = text.rpartition(":")
         if not host or not port.isdigit():
             raise ValueError(f"coordination: {text!r} is not host:port")
         return cls(host, int(port))
 
 
-def key_of(task: str) -> bytes:
+def owner_key(task: str) -> bytes:
     """The task's key on the service."""
     return f"/cometseam/owners/{task}".encode()
 
 
-def connect(place: Place, terms: Terms) -> aetcd.Client:
+def connect(place: ServiceAddress, terms: OwnershipTerms) -> aetcd.Client:
     """A client whose every call has a deadline of twice the terms' round trip (whole ms, as seconds)."""
     return aetcd.Client(host=place.host, port=place.port, timeout=2 * terms.round_trip_ms / 1000.0)
 
 
-async def answered(call: Awaitable[Any]) -> Any:
+async def call_or_unanswered(call: Awaitable[Any]) -> Any:
     """One request; `UNANSWERED` where it failed or passed the client's deadline.
 
     The deadline is the gRPC call's own (the client's `timeout`, see `connect`), never a cancel scope of ours
@@ -74,63 +74,69 @@
 
 
 @dataclass(frozen=True)
-class Spare:
-    """A lease that a lost campaign left unused: asked for at `sent` (ms), for `seconds`."""
+class UnusedLease:
+    """A lease that a lost campaign left unused: asked for at `sent_at` (ms), for `ttl_seconds`."""
 
     lease: Any
-    seconds: int
-    sent: float
-    turns: int | None
+    ttl_seconds: int
+    sent_at: float
+    clock_regressions: int | None
 
 
-class Holder:
+class TaskHolder:
     """One front's hold on one task: `run` campaigns and renews for as long as it is not cancelled."""
 
     def __init__(
-        self, client: aetcd.Client, task: str, name: str, terms: Terms, clock: Clock, look_first: bool = True
+        self,
+        client: aetcd.Client,
+        task: str,
+        name: str,
+        terms: OwnershipTerms,
+        clock: Clock,
+        read_first: bool = True,
     ) -> None:
         self.client = client
-        self.look_first = look_first  # read the key before asking for a lease: 1 call, not 3, while held
-        self.owner = Owner(task, terms)
+        self.read_first = read_first  # read the key before asking for a lease: 1 call, not 3, while held
+        self.ownership = Ownership(task, terms)
         self.name = name
         self.clock = clock
         self.lease: Any = None
-        self.spare: Spare | None = None
-        self.asked = 0  # requests sent to the service, for the measure of its load
+        self.unused_lease: UnusedLease | None = None
+        self.requests_sent = 0  # requests sent to the service, for the measure of its load
 
     async def _ask(self, call: Awaitable[Any]) -> Any:
-        self.asked += 1
-        return await answered(call)
+        self.requests_sent += 1
+        return await call_or_unanswered(call)
 
     def _stamp(self) -> tuple[float, int | None]:
         """When a request is sent, and how often the clock had gone back by then; None: the task is lost."""
         now = self.clock()
-        self.owner.tick(now)
-        return now, None if self.owner.state is State.LOST else self.owner.turns
+        self.ownership.tick(now)
+        return now, None if self.ownership.state is State.LOST else self.ownership.clock_regressions
 
     async def campaign(self) -> None:
         """Ask for a lease and try to create the task's key with it; tell the machine what came of it."""
         now = self.clock()
-        if not self.owner.campaign(now):
+        if not self.ownership.begin_campaign(now):
             return
-        if self.look_first:
+        if self.read_first:
             # While another holds the task, a candidate's campaign would be a grant, a failed transaction
             # and a revoke: three calls each `renew_ms` from every candidate. One read tells the same.
-            held = await self._ask(self.client.get(key_of(self.owner.task)))
+            held = await self._ask(self.client.get(owner_key(self.ownership.task)))
             if held is UNANSWERED or held is not None:
                 return
-        spare, self.spare = self.spare, None
+        spare, self.unused_lease = self.unused_lease, None
         now, turns = self._stamp()
-        seconds = max(int(self.owner.terms.ttl_ms // 1000), 1)
+        seconds = max(int(self.ownership.terms.ttl_ms // 1000), 1)
         # A tenth of its time may be gone: that much less is left to act before the first renewal.
-        fits = spare is not None and (spare.seconds, spare.turns) == (seconds, turns)
-        if spare is None or not fits or now > spare.sent + 100.0 * seconds:
+        fits = spare is not None and (spare.ttl_seconds, spare.clock_regressions) == (seconds, turns)
+        if spare is None or not fits or now > spare.sent_at + 100.0 * seconds:
             asked = await self._ask(self.client.lease(seconds))
             if asked is UNANSWERED:
                 return
-            spare = Spare(asked, seconds, now, turns)
-        lease, sent = spare.lease, spare.sent
-        key = key_of(self.owner.task)
+            spare = UnusedLease(asked, seconds, now, turns)
+        lease, sent = spare.lease, spare.sent_at
+        key = owner_key(self.ownership.task)
         tx = self.client.transactions
         answer = await self._ask(
             self.client.transaction(
@@ -145,9 +151,10 @@
         succeeded, replies = answer
         if succeeded:
             self.lease = lease
-            self.owner.won(replies[0].response_put.header.revision, sent, self.clock(), turns or 0)
+            self.ownership.record_won(replies[0].response_put.header.revision, sent, self.clock(), turns or 0)
         else:
-            self.spare = spare  # for the next campaign soon, or to its own end: no more than one a front
+            # For the next campaign soon, or to its own end: no more than one a front.
+            self.unused_lease = spare
 
     async def renew(self) -> None:
         """Renew the lease, then look at who holds the key."""
@@ -159,15 +166,15 @@
             return
         reply = await self._ask(self.lease.refresh())
         if reply is not UNANSWERED and reply is not None:
-            self.owner.renewed(sent, float(reply.TTL) * 1000.0, self.clock(), turns)
-        held = await self._ask(self.client.get(key_of(self.owner.task)))
+            self.ownership.record_renewal(sent, float(reply.TTL) * 1000.0, self.clock(), turns)
+        held = await self._ask(self.client.get(owner_key(self.ownership.task)))
         if held is not UNANSWERED:  # `get` answers None for a key that is not there
-            self.owner.saw(held.create_revision if held is not None else 0, self.clock())
-        self.owner.tick(self.clock())
-        if self.owner.state is State.LOST:
+            self.ownership.record_key_holder(held.create_revision if held is not None else 0, self.clock())
+        self.ownership.tick(self.clock())
+        if self.ownership.state is State.LOST:
             self.lease = None  # renewed no more: given up, or gone at the service
 
-    async def put(self, key: bytes, value: bytes) -> bool:
+    async def put_fenced(self, key: bytes, value: bytes) -> bool:
         """Write a key as the task's owner, or not at all: in one transaction with the check of who owns it.
 
         The service itself is the fence here: the write counts only while the task's key is the one that this
@@ -177,16 +184,17 @@
         put = self.client.transactions.put
         return self.lease is not None and await self._write([put(key, value, self.lease)])
 
-    async def write(self, keys: list[tuple[bytes, bytes | None]]) -> bool:
-        """Write keys, or remove those with None, as `put` does and all at once; they outlive this owner."""
+    async def write_fenced(self, keys: list[tuple[bytes, bytes | None]]) -> bool:
+        """Write keys, or remove those with None, as `put_fenced` does and all at once; they outlive this
+        owner."""
         tx = self.client.transactions
         return await self._write([tx.delete(k) if v is None else tx.put(k, v) for k, v in keys])
 
     async def _write(self, operations: list[Any]) -> bool:
-        owner, tx = self.owner, self.client.transactions
+        owner, tx = self.ownership, self.client.transactions
         if self.lease is None or not owner.may_act(self.clock()):
             return False
-        mine = key_of(owner.task)
+        mine = owner_key(owner.task)
         answer = await self._ask(
             self.client.transaction(
                 compare=[tx.create(mine) == owner.token], success=operations, failure=[tx.get(mine)]
@@ -196,7 +204,7 @@
             return False
         succeeded, _ = answer
         if not succeeded:
-            owner.saw(0, self.clock())
+            owner.record_key_holder(0, self.clock())
         return bool(succeeded)
 
     async def run(self) -> None:
@@ -207,17 +215,17 @@
                     await self.campaign()
                 else:
                     await self.renew()
-                await anyio.sleep(self.owner.terms.renew_ms / 1000.0)
+                await anyio.sleep(self.ownership.terms.renew_ms / 1000.0)
         finally:
-            await self.leave()
+            await self.release()
 
-    async def keep(self) -> None:
+    async def renew_until_lost(self) -> None:
         """Renew every `renew_ms` for as long as the task is held; return once it is lost."""
         while self.lease is not None:
-            await anyio.sleep(self.owner.terms.renew_ms / 1000.0)
+            await anyio.sleep(self.ownership.terms.renew_ms / 1000.0)
             await self.renew()
 
-    async def leave(self) -> None:
+    async def release(self) -> None:
         """Give the lease back, so that the next owner need not wait for its end; also when cancelled."""
         if self.lease is not None:
             with anyio.CancelScope(shield=True), anyio.move_on_after(0.5):
--- a/cometseam/coordination/follow.py
+++ b/cometseam/coordination/key_watcher.py
@@ -3,7 +3,7 @@
 The watch brings changes at once; the reads, every `refresh_ms`, bound how old the view can be whatever the
 watch does: a watch can be compacted under (the service has dropped the revision it starts from), can end
 with its connection, or can be silent on a link that swallows what it should carry, which nothing on the
-client's side tells from calm. What is known is a `View`'s to decide; this file only asks.
+client's side tells from calm. What is known is a `KeyRangeView`'s to decide; this file only asks.
 
 What cancels it: leaving `run`'s task group. Nothing is left at the service but a watch that ends with the
 connection.
@@ -15,23 +15,23 @@
 import aetcd
 import anyio
 
-from cometseam.ownership import Entry, Told, View
+from cometseam.ownership import KeyChange, KeyEntry, KeyRangeView
 
 Clock = Callable[[], float]
-Tell = Callable[[list[Told]], None]
+ChangesCallback = Callable[[list[KeyChange]], None]
 LEAST_PAUSE = 0.05  # s between two watches: one that ends at once must not be begun in a loop
 
 
-class Follower:
+class KeyRangeWatcher:
     """One front's view of the keys below `prefix`; `tell` is called with every change, in order."""
 
     def __init__(
-        self, client: aetcd.Client, prefix: bytes, refresh_ms: float, clock: Clock, tell: Tell
+        self, client: aetcd.Client, prefix: bytes, refresh_ms: float, clock: Clock, tell: ChangesCallback
     ) -> None:
         self.client, self.prefix, self.refresh_ms = client, prefix, refresh_ms
-        self.clock, self.tell = clock, tell
-        self.view = View()
-        self.reads = self.unanswered = self.watches = self.ended = 0
+        self.clock, self.on_changes = clock, tell
+        self.view = KeyRangeView()
+        self.reads = self.unanswered = self.watches = self.watches_ended = 0
 
     async def _answered(self, call: Awaitable[Any]) -> Any:
         try:
@@ -47,10 +47,10 @@
         answer = await self._answered(self.client.get_prefix(self.prefix))
         if answer is None:
             return False
-        entries = {kv.key: Entry(kv.value, kv.create_revision, kv.mod_revision) for kv in answer}
-        told = self.view.read(answer.header.revision, entries, sent, floor)
+        entries = {kv.key: KeyEntry(kv.value, kv.create_revision, kv.mod_revision) for kv in answer}
+        told = self.view.apply_read(answer.header.revision, entries, sent, floor)
         if told:
-            self.tell(told)
+            self.on_changes(told)
         return True
 
     async def _watch(self) -> None:
@@ -61,12 +61,12 @@
             async for event in watch:
                 kv = event.kv
                 put = str(event.kind).endswith("PUT")
-                entry = Entry(kv.value, kv.create_revision, kv.mod_revision) if put else None
-                told = self.view.event(kv.mod_revision, kv.key, entry)
+                entry = KeyEntry(kv.value, kv.create_revision, kv.mod_revision) if put else None
+                told = self.view.apply_event(kv.mod_revision, kv.key, entry)
                 if told:
-                    self.tell(told)
+                    self.on_changes(told)
         except Exception:  # compacted under, or the connection ended: the next read mends what was missed
-            self.ended += 1
+            self.watches_ended += 1
 
     async def run(self) -> None:
         """Follow until cancelled."""
--- a/cometseam/coordination/sharing.py
+++ b/cometseam/coordination/limit_sharing.py
@@ -19,12 +19,12 @@
 import aetcd
 import anyio
 
-from cometseam.coordination.crew import Crew
-from cometseam.coordination.elect import UNANSWERED, Clock, Holder, answered
-from cometseam.coordination.follow import Follower
+from cometseam.coordination.election import UNANSWERED, Clock, TaskHolder, call_or_unanswered
+from cometseam.coordination.key_watcher import KeyRangeWatcher
+from cometseam.coordination.task_owners import TaskOwners
 from cometseam.counters import COUNTERS
-from cometseam.limits import Ask, Coordinator, Grant, Share, Sharing
-from cometseam.ownership import Told
+from cometseam.limits import CapacityGrant, Coordinator, DemandReport, FrontShares, SharingTerms
+from cometseam.ownership import KeyChange
 
 LIMITS = "limits"  # the task of sharing out
 ASKS, GRANTS = b"/cometseam/asks/", b"/cometseam/grants/"
@@ -32,18 +32,18 @@
 BATCH = 100  # keys in a transaction; etcd takes 128 by default
 MOST = 1 << 20  # bytes of an ask or a grant
 
-Wishes = Callable[[], dict[str, dict[str, float]]]  # by group and limit
-Granted = Callable[[str, str, float, float], None]  # group, limit, part, for how long (ms)
+DemandReader = Callable[[], dict[str, dict[str, float]]]  # by group and limit
+ShareCallback = Callable[[str, str, float, float], None]  # group, limit, part, for how long (ms)
 
 
-def write_ask(ask: Ask) -> bytes:
+def encode_report(ask: DemandReport) -> bytes:
     """Return an ask as it stands on the service, as JSON."""
-    return json.dumps([ask.number, *ask.on, ask.wishes], separators=(",", ":")).encode()
+    return json.dumps([ask.number, *ask.applied_grant, ask.demands], separators=(",", ":")).encode()
 
 
-def write_grant(grant: Grant) -> bytes:
+def encode_grant(grant: CapacityGrant) -> bytes:
     """Return a grant as it stands on the service, as JSON."""
-    told = [grant.token, grant.number, grant.ask, grant.shares, grant.earlier]
+    told = [grant.token, grant.number, grant.report_number, grant.shares, grant.previous_max_shares]
     return json.dumps(told, separators=(",", ":")).encode()
 
 
@@ -64,30 +64,37 @@
     return told
 
 
-def read_ask(value: bytes) -> Ask:
-    """Read what `write_ask` wrote; ValueError for anything else."""
+def decode_report(value: bytes) -> DemandReport:
+    """Read what `encode_report` wrote; ValueError for anything else."""
     number, token, last, wishes = _parts(value, 3, 1)
-    return Ask(number, (token, last), wishes)
+    return DemandReport(number, (token, last), wishes)
 
 
-def read_grant(value: bytes) -> Grant:
-    """Read what `write_grant` wrote; ValueError for anything else."""
-    return Grant(*_parts(value, 3, 2))
+def decode_grant(value: bytes) -> CapacityGrant:
+    """Read what `encode_grant` wrote; ValueError for anything else."""
+    return CapacityGrant(*_parts(value, 3, 2))
 
 
-class Sharer:
+class LimitSharer:
     """One front's part. `groups`: the terms of each group of fronts; `mine`: the groups that it is one of."""
 
     def __init__(
-        self, client: aetcd.Client, crew: Crew, name: str, clock: Clock, groups: dict[str, Sharing],
-        mine: set[str], wishes: Wishes, granted: Granted,
-    ) -> None:  # fmt: skip
-        self.client, self.crew, self.clock = client, crew, clock
-        self.groups, self.wishes, self.granted = groups, wishes, granted
+        self,
+        client: aetcd.Client,
+        crew: TaskOwners,
+        name: str,
+        clock: Clock,
+        groups: dict[str, SharingTerms],
+        mine: set[str],
+        wishes: DemandReader,
+        granted: ShareCallback,
+    ) -> None:
+        self.client, self.task_owners, self.clock = client, crew, clock
+        self.groups, self.read_demands, self.on_share = groups, wishes, granted
         self.process = f"{name}.{int(clock() * 1000.0):x}"
-        self.shares = {group: Share(groups[group]) for group in mine}
+        self.front_shares = {group: FrontShares(groups[group]) for group in mine}
         self.refresh = min(terms.refresh for terms in groups.values())
-        self.lasts = max(terms.lasts for terms in groups.values())
+        self.grant_ttl = max(terms.grant_ttl for terms in groups.values())
         self._lease: Any = None
         self._lease_at = 0.0
         self._told: dict[tuple[str, str], tuple[float, float]] = {}  # part and end as last told to the module
@@ -96,9 +103,11 @@
     async def run(self) -> None:
         """Take part until cancelled."""
         async with anyio.create_task_group() as tasks:
-            for group in self.shares:
+            for group in self.front_shares:
                 key = GRANTS + f"{group}/{self.process}".encode()
-                follower = Follower(self.client, key, 2.0 * self.refresh, self.clock, self._taker(group, key))
+                follower = KeyRangeWatcher(
+                    self.client, key, 2.0 * self.refresh, self.clock, self._taker(group, key)
+                )
                 tasks.start_soon(follower.run)
             tasks.start_soon(self._ask)
             tasks.start_soon(self._coordinate)
@@ -111,15 +120,15 @@
     async def _keep_lease(self) -> bool:
         """Have a lease for the asks that lives on; another where it ended."""
         now = self.clock()
-        if self._lease is not None and now - self._lease_at < 0.5 * self.lasts:
+        if self._lease is not None and now - self._lease_at < 0.5 * self.grant_ttl:
             return True
         if self._lease is not None:
-            reply = await answered(self._lease.refresh())
+            reply = await call_or_unanswered(self._lease.refresh())
             if reply is not UNANSWERED and reply is not None and reply.TTL > 0:
                 self._lease_at = now
                 return True
-        seconds = max(round(2.0 * self.lasts / 1000.0), 1)
-        lease = await answered(self.client.lease(seconds))
+        seconds = max(round(2.0 * self.grant_ttl / 1000.0), 1)
+        lease = await call_or_unanswered(self.client.lease(seconds))
         self._lease = None if lease is UNANSWERED else lease
         self._lease_at = now
         return self._lease is not None
@@ -127,29 +136,29 @@
     async def _ask(self) -> None:
         while True:
             await anyio.sleep(self.refresh / 1000.0)
-            told = self.wishes()
-            for group, share in self.shares.items():
+            told = self.read_demands()
+            for group, share in self.front_shares.items():
                 wishes = told.get(group, {})
-                if not wishes and not share.names():
+                if not wishes and not share.limit_names():
                     continue
                 if not await self._keep_lease():
                     continue
-                ask = share.ask(wishes, self.clock())
+                ask = share.make_report(wishes, self.clock())
                 COUNTERS.add("fleet.limits.asks")
                 key = ASKS + f"{group}/{self.process}".encode()
-                await answered(self.client.put(key, write_ask(ask), self._lease))
+                await call_or_unanswered(self.client.put(key, encode_report(ask), self._lease))
 
-    def _taker(self, group: str, key: bytes) -> Callable[[list[Told]], None]:
-        def take(told: list[Told]) -> None:
+    def _taker(self, group: str, key: bytes) -> Callable[[list[KeyChange]], None]:
+        def take(told: list[KeyChange]) -> None:
             for change in told:
                 if change.entry is None or change.key != key:
                     continue
                 try:
-                    grant = read_grant(change.entry.value)
+                    grant = decode_grant(change.entry.value)
                 except (ValueError, RecursionError):
                     COUNTERS.add("fleet.limits.unusable")
                     continue
-                counts = self.shares[group].take(grant, self.clock())
+                counts = self.front_shares[group].apply_grant(grant, self.clock())
                 COUNTERS.add("fleet.limits.taken" if counts else "fleet.limits.passed_over")
 
         return take
@@ -157,22 +166,22 @@
     def _tell(self) -> None:
         """Tell the module of each share that has changed, and until when it holds by itself."""
         now = self.clock()
-        for group, share in self.shares.items():
-            for name in share.names():
-                part, ends = share.may(name, now), share.ends(name, now)
+        for group, share in self.front_shares.items():
+            for name in share.limit_names():
+                part, ends = share.current_share(name, now), share.next_change_at(name, now)
                 if self._told.get((group, name)) != (part, ends):
                     self._told[group, name] = (part, ends)
-                    self.granted(group, name, part, max(ends - now, 0.0))
-            names = set(share.names())
+                    self.on_share(group, name, part, max(ends - now, 0.0))
+            names = set(share.limit_names())
             for key in [key for key in self._told if key[0] == group and key[1] not in names]:
                 del self._told[key]
-                self.granted(*key, share.terms.floor, 0.0)  # as without a grant: an equal part
+                self.on_share(*key, share.terms.floor, 0.0)  # as without a grant: an equal part
 
     # The coordinator's side
 
-    def _holder(self) -> Holder | None:
-        holder = self.crew.holders.get(LIMITS)
-        holds = holder is not None and holder.lease is not None and holder.owner.may_act(self.clock())
+    def _holder(self) -> TaskHolder | None:
+        holder = self.task_owners.holders.get(LIMITS)
+        holds = holder is not None and holder.lease is not None and holder.ownership.may_act(self.clock())
         return holder if holds else None
 
     async def _coordinate(self) -> None:
@@ -182,26 +191,29 @@
             if holder is not None:
                 await self._hold(holder)
 
-    async def _hold(self, holder: Holder) -> None:
+    async def _hold(self, holder: TaskHolder) -> None:
         """Share out for as long as this front holds the task under this token and its clock does not turn."""
-        token, turns = holder.owner.token, holder.owner.turns
+        token, turns = holder.ownership.token, holder.ownership.clock_regressions
         self._coordinators = {group: Coordinator(terms, token) for group, terms in self.groups.items()}
         # After the task was won: whatever an earlier coordinator still writes is refused by the service.
-        answer = await answered(self.client.get_prefix(GRANTS))
+        answer = await call_or_unanswered(self.client.get_prefix(GRANTS))
         if answer is UNANSWERED:
             return
         for kv in answer:
             place = self._place(GRANTS, kv.key)
             try:
                 if place is not None:
-                    place[0].found(place[1], read_grant(kv.value), self.clock())
+                    place[0].record_existing_grant(place[1], decode_grant(kv.value), self.clock())
             except (ValueError, RecursionError):
                 COUNTERS.add("fleet.limits.unusable")
         COUNTERS.add("fleet.limits.coordinated")
         async with anyio.create_task_group() as tasks:
-            follower = Follower(self.client, ASKS, 2.0 * self.refresh, self.clock, self._hear)
+            follower = KeyRangeWatcher(self.client, ASKS, 2.0 * self.refresh, self.clock, self._hear)
             tasks.start_soon(follower.run)
-            while self._holder() is holder and (holder.owner.token, holder.owner.turns) == (token, turns):
+            while self._holder() is holder and (
+                holder.ownership.token,
+                holder.ownership.clock_regressions,
+            ) == (token, turns):
                 await anyio.sleep(self.refresh / 1000.0)
                 await self._share_out(holder)
             tasks.cancel_scope.cancel()
@@ -211,26 +223,26 @@
         coordinator = self._coordinators.get(group)
         return None if coordinator is None or not process else (coordinator, process)
 
-    def _hear(self, told: list[Told]) -> None:
+    def _hear(self, told: list[KeyChange]) -> None:
         for change in told:
             place = self._place(ASKS, change.key)
             if place is None:
                 continue
             if change.entry is None:
-                place[0].left(place[1])
+                place[0].record_report_removed(place[1])
                 continue
             try:
-                place[0].heard(place[1], read_ask(change.entry.value), self.clock())
+                place[0].record_report(place[1], decode_report(change.entry.value), self.clock())
             except (ValueError, RecursionError):
                 COUNTERS.add("fleet.limits.unusable")
 
-    async def _share_out(self, holder: Holder) -> None:
+    async def _share_out(self, holder: TaskHolder) -> None:
         writes: list[tuple[bytes, bytes | None]] = []
         for group, coordinator in self._coordinators.items():
-            for process, grant in coordinator.share_out(self.clock()).items():
-                writes.append((GRANTS + f"{group}/{process}".encode(), write_grant(grant)))
-            for process in coordinator.forgotten():
+            for process, grant in coordinator.allocate(self.clock()).items():
+                writes.append((GRANTS + f"{group}/{process}".encode(), encode_grant(grant)))
+            for process in coordinator.pop_removed_fronts():
                 writes.append((GRANTS + f"{group}/{process}".encode(), None))
         for at in range(0, len(writes), BATCH):
-            written = await holder.write(writes[at : at + BATCH])
+            written = await holder.write_fenced(writes[at : at + BATCH])
             COUNTERS.add("fleet.limits.written" if written else "fleet.limits.refused")
--- /dev/null
+++ b/cometseam/coordination/task_owners.py
@@ -0,0 +1,117 @@
+"""One front's part in all the fleet's tasks: it follows who holds what, campaigns when its bid is due, and
+renews what it holds.
+
+Beside `TaskHolder.run` (one task, the key read every `renew_ms`) this follows all tasks' keys by one watch,
+and campaigns only for what has come free, when the `CampaignScheduler` says so: with 200 fronts and 50 tasks
+the service bears one read a front every `refresh_ms` and a few campaigns a change, not a read a task a front
+a renewal.
+"""
+
+from collections.abc import Callable
+
+import aetcd
+import anyio
+from anyio.abc import TaskGroup
+
+from cometseam.coordination.election import Clock, TaskHolder, UnusedLease, owner_key
+from cometseam.coordination.key_watcher import KeyRangeWatcher
+from cometseam.ownership import CampaignScheduler, KeyChange, OwnershipTerms, State
+
+OWNERS = owner_key("")
+LOOK = 0.01  # s between two looks at bids that are due
+Changed = Callable[[TaskHolder], None]
+
+
+class TaskOwners:
+    """Holds tasks for one front; `changed` is told each time that a task's standing may have changed."""
+
+    def __init__(
+        self,
+        client: aetcd.Client,
+        name: str,
+        tasks: dict[str, OwnershipTerms],
+        refresh_ms: float,
+        clock: Clock,
+        changed: Changed,
+        spread_ms: float | None = None,
+    ) -> None:
+        """`spread_ms`: the longest wait before a campaign; half of the shortest `renew_ms` by default."""
+        self.clock, self.on_change = clock, changed
+        self.holders = {
+            task: TaskHolder(client, task, name, terms, clock, read_first=False)
+            for task, terms in tasks.items()
+        }
+        again = min(terms.renew_ms for terms in tasks.values())
+        half = 0.5 * again if spread_ms is None else spread_ms
+        self.campaign_scheduler = CampaignScheduler(name, list(tasks), spread_ms=half, retry_ms=2.0 * again)
+        self.owner_watcher = KeyRangeWatcher(client, OWNERS, refresh_ms, clock, self._told)
+        self._first = True
+        self._spare: UnusedLease | None = None  # the lease of a campaign that was lost, for the next one
+
+    def _told(self, told: list[KeyChange]) -> None:
+        now = self.clock()
+        if self._first:  # what was not in the first read has no owner
+            self._first = False
+            for task in self.holders:
+                if OWNERS + task.encode() not in self.owner_watcher.view.entries_by_key:
+                    self.campaign_scheduler.record_key(task, 0, now)
+        for change in told:
+            task = change.key.removeprefix(OWNERS).decode(errors="replace")
+            token = change.entry.create_revision if change.entry is not None else 0
+            self.campaign_scheduler.record_key(task, token, now)
+            # What was told before this front's own key was created says nothing of it: the end of the
+            # owner before it can come by the watch after the campaign was won.
+            if (
+                task in self.holders
+                and self.owner_watcher.view.revision >= self.holders[task].ownership.token
+            ):
+                self.holders[task].ownership.record_key_holder(token, now)
+
+    async def run(self) -> None:
+        """Take part until cancelled; what is held then is given back."""
+        try:
+            async with anyio.create_task_group() as group:
+                group.start_soon(self.owner_watcher.run)
+                while True:
+                    await anyio.sleep(LOOK)
+                    if self._first and self.owner_watcher.view.last_read_at is not None:
+                        self._told([])  # the range was empty: nothing was told
+                    while (task := self.campaign_scheduler.pop_due_task(self.clock())) is not None:
+                        await self._campaign(self.holders[task], group)
+        finally:
+            with anyio.CancelScope(shield=True):
+                for holder in self.holders.values():
+                    await holder.release()
+
+    async def _campaign(self, holder: TaskHolder, group: TaskGroup) -> None:
+        if holder.lease is not None:
+            return
+        holder.unused_lease, self._spare = self._spare, None
+        await holder.campaign()
+        self._spare, holder.unused_lease = holder.unused_lease, None
+        if holder.lease is None:
+            return  # held by another, or unanswered: the bidder tries again until the key is seen
+        self.campaign_scheduler.record_won(holder.ownership.task, holder.ownership.token)
+        self.on_change(holder)
+        group.start_soon(self._keep, holder)
+
+    async def _keep(self, holder: TaskHolder) -> None:
+        # What is renewed late (the loop was busy, the process paused) is the owner's state to judge; the
+        # task ends here when it is lost, and the front campaigns again after a while.
+        while holder.lease is not None:
+            before = holder.ownership.state
+            await anyio.sleep(holder.ownership.terms.renew_ms / 1000.0)
+            await holder.renew()
+            if holder.ownership.state is not before:
+                self.on_change(holder)
+        self.campaign_scheduler.record_lost(holder.ownership.task, self.clock())
+        self.on_change(holder)
+
+    def active_holders(self) -> list[TaskHolder]:
+        """The tasks that this front may act for now."""
+        now = self.clock()
+        return [h for h in self.holders.values() if h.lease is not None and h.ownership.may_act(now)]
+
+    def states(self) -> dict[str, State]:
+        """Where this front stands towards each task."""
+        return {task: holder.ownership.state for task, holder in self.holders.items()}
--- a/cometseam/counters.py
+++ b/cometseam/counters.py
@@ -7,14 +7,14 @@
 from contextlib import suppress
 
 
-def memory_taken() -> int:
+def private_memory_bytes() -> int:
     """Tell how many bytes the process takes now, without what it shares with files."""
     with open("/proc/self/statm") as file:
         _, resident, shared, *_ = map(int, file.read().split())
     return (resident - shared) * resource.getpagesize()
 
 
-def memory_most() -> int:
+def peak_memory_bytes() -> int:
     """Tell how many bytes the process took at most; `ru_maxrss` counts those of its starter too."""
     with open("/proc/self/status") as file:
         line = next(line for line in file if line.startswith("VmHWM:"))
@@ -26,35 +26,35 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.most: dict[str, float] = {}
+        self.maxima: dict[str, float] = {}
 
     def add(self, name: str, by: int = 1) -> None:
         """Count one more."""
         self.counts[name] += by
 
-    def see(self, name: str, value: float) -> None:
+    def record_max(self, name: str, value: float) -> None:
         """Keep the largest value seen."""
-        if value > self.most.get(name, -math.inf):
-            self.most[name] = value
+        if value > self.maxima.get(name, -math.inf):
+            self.maxima[name] = value
 
-    def sample(self) -> None:
+    def sample_process(self) -> None:
         """Look at what the process takes."""
         with suppress(OSError):  # there may be no descriptor left to look with
-            self.see("memory_mb", memory_most() / (1 << 20))
-            self.see("descriptors", len(os.listdir("/proc/self/fd")))
+            self.record_max("memory_mb", peak_memory_bytes() / (1 << 20))
+            self.record_max("descriptors", len(os.listdir("/proc/self/fd")))
 
     def all(self) -> dict[str, int | float]:
         """Return all of them, counts first."""
-        self.sample()
+        self.sample_process()
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        self.most["cpu_s"] = usage.ru_utime + usage.ru_stime
-        return {**dict(sorted(self.counts.items())), **dict(sorted(self.most.items()))}
+        self.maxima["cpu_s"] = usage.ru_utime + usage.ru_stime
+        return {**dict(sorted(self.counts.items())), **dict(sorted(self.maxima.items()))}
 
 
 COUNTERS = Counters()
 
 
-def invariant(holds: bool, name: str) -> None:
+def check_invariant(holds: bool, name: str) -> None:
     """Assert what must hold in a debug build; count it where it does not in a release build (`python -O`)."""
     if holds:
         return
--- a/cometseam/discovery/__init__.py
+++ b/cometseam/discovery/__init__.py
@@ -5,11 +5,17 @@
 """
 
 from cometseam.discovery.client import DiscoveryClient
-from cometseam.discovery.confirmation import Confirmation, ConfirmationTerms, Confirmed
-from cometseam.discovery.schedule import PollSchedule, PollTerms
-from cometseam.discovery.sequence import Accepted, EventSequence
+from cometseam.discovery.confirmation import ConfirmationPolicy, ConfirmationTracker, Confirmed
+from cometseam.discovery.schedule import PollPolicy, PollSchedule
+from cometseam.discovery.sequence import AcceptResult, EventSequence
 
 __all__ = [
-    "Accepted", "Confirmation", "ConfirmationTerms", "Confirmed", "DiscoveryClient", "EventSequence",
-    "PollSchedule", "PollTerms",
-]  # fmt: skip
+    "AcceptResult",
+    "ConfirmationPolicy",
+    "ConfirmationTracker",
+    "Confirmed",
+    "DiscoveryClient",
+    "EventSequence",
+    "PollPolicy",
+    "PollSchedule",
+]
--- a/cometseam/discovery/client.py
+++ b/cometseam/discovery/client.py
@@ -10,19 +10,19 @@
 from anyio.abc import TaskGroup
 
 from cometseam.counters import COUNTERS
-from cometseam.discovery.confirmation import Confirmation, ConfirmationTerms, Confirmed
+from cometseam.discovery.confirmation import ConfirmationPolicy, ConfirmationTracker, Confirmed
 from cometseam.discovery.connection import DiscoveryConnection
-from cometseam.discovery.schedule import PollSchedule, PollTerms
+from cometseam.discovery.schedule import PollPolicy, PollSchedule
 from cometseam.discovery.sequence import EventSequence
-from cometseam.events import say
-from cometseam.protocol import Malformed
-from cometseam.protocol.changelog import Change, Listing, path, read_text
-from cometseam.settings import Names
+from cometseam.events import log_event
+from cometseam.protocol import ProtocolError
+from cometseam.protocol.discovery_events import DiscoveryEvent, EndpointList, parse_answer, poll_path
+from cometseam.settings import NameTables
 
 NAMED = 8  # endpoints of one event that are logged by name
 REST = 50.0  # ms between two looks at whether another front still reads discovery for this one
 READ_EVERY = 10.0  # ms between two reads that `read_now` makes
-FAULTS = (OSError, Malformed, h11.RemoteProtocolError, h11.LocalProtocolError)
+FAULTS = (OSError, ProtocolError, h11.RemoteProtocolError, h11.LocalProtocolError)
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +38,7 @@
     was_answered: bool = False  # at least once, over this connection
 
 
-def monotonic() -> float:
+def monotonic_ms() -> float:
     """Return milliseconds of the monotonic clock."""
     return time.monotonic() * 1000.0
 
@@ -47,49 +47,55 @@
     """Follows discovery for one front; each event is handed on once, in order, in the turn that reads it."""
 
     def __init__(
-        self, address: tuple[str, int], last: int, names: Names, hand_on: Callable[[list[Change]], None],
-        terms: PollTerms | None = None, clock: Callable[[], float] = monotonic,
-        confirmation: ConfirmationTerms | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        address: tuple[str, int],
+        last: int,
+        names: NameTables,
+        on_events: Callable[[list[DiscoveryEvent]], None],
+        terms: PollPolicy | None = None,
+        clock: Callable[[], float] = monotonic_ms,
+        confirmation: ConfirmationPolicy | None = None,
+    ) -> None:
         """Begin after event `last`.
 
         Args:
             address: host and port of discovery.
             last: number of the last event that the front knows.
             names: names of zones and kinds, by which lines are read.
-            hand_on: takes events; it must not wait.
+            on_events: takes events; it must not wait.
             terms: spans and bounds; the defaults where there are none.
             clock: monotonic milliseconds.
             confirmation: when what is known counts as confirmed; the defaults where there are none.
         """
-        self._address, self._names, self._hand_on, self._clock = address, names, hand_on, clock
+        self._address, self._names, self._hand_on, self._clock = address, names, on_events, clock
         self._sequence = EventSequence(last)
-        self._schedule = PollSchedule(terms or PollTerms())
-        self._confirmation = Confirmation(confirmation or ConfirmationTerms(), clock())
+        self._schedule = PollSchedule(terms or PollPolicy())
+        self._confirmation = ConfirmationTracker(confirmation or ConfirmationPolicy(), clock())
         self._sent_unconfirmed = 0  # attempts, since what is known was last confirmed
         self._polls: dict[int, Poll] = {}
         self._begun = 0
         self._changed = anyio.Event()  # something ended, was answered or moved: the schedule is looked at
         self._tasks: TaskGroup | None = None
         self._read_at = float("-inf")
-        self.notice_stand_still: Callable[[], None] = lambda: None  # calls `resumed` where there was one
-        # Where one front reads discovery for all (`coordination.party`): whether this one rests, and who is
-        # told of each poll that was answered, with its text.
-        self.rests: Callable[[], bool] = lambda: False
-        self.polled: Callable[[bytes], None] = lambda text: None
+        # Calls `record_pause` where there was one.
+        self.detect_process_pause: Callable[[], None] = lambda: None
+        # Where one front reads discovery for all (`coordination.fleet_member`): whether this one rests, and
+        # who is told of each poll that was answered, with its text.
+        self.is_passive: Callable[[], bool] = lambda: False
+        self.on_answer: Callable[[bytes], None] = lambda text: None
 
     @property
-    def last(self) -> int:
+    def last_seq(self) -> int:
         """Return the number of the last event taken in."""
-        return self._sequence.last
+        return self._sequence.last_seq
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Poll at another address from now on. Polls outstanding at the old one are still read."""
         if address == self._address:
             return
         self._address = address
-        self._confirmation.moved(self._clock())
-        for number in self._schedule.moved(self._clock()):
+        self._confirmation.address_changed(self._clock())
+        for number in self._schedule.address_changed(self._clock()):
             self._give_up(number, "discovery has another address")
         self._changed.set()
 
@@ -108,28 +114,28 @@
 
     def confirmation_wait(self) -> float:
         """Return for how many ms requests wait at most until discovery confirms what is known."""
-        return 0.0 if self.rests() else self._confirmation.wait(self._clock())
+        return 0.0 if self.is_passive() else self._confirmation.remaining_wait(self._clock())
 
-    def attempt_written(self) -> float | None:
+    def record_attempt(self) -> float | None:
         """Take in that an attempt is written; return for how many ms what is known was unconfirmed."""
-        unconfirmed_for = None if self.rests() else self._confirmation.unconfirmed_for(self._clock())
+        unconfirmed_for = None if self.is_passive() else self._confirmation.unconfirmed_for(self._clock())
         if unconfirmed_for is not None:
             self._sent_unconfirmed += 1
         return unconfirmed_for
 
-    def resumed(self, lasted: float) -> None:
+    def record_pause(self, lasted: float) -> None:
         """Take in that the process goes on after it has stood still for so many ms."""
-        self._confirmation.stood_still(self._clock(), lasted)
+        self._confirmation.process_paused(self._clock(), lasted)
 
-    def hear(self, text: bytes) -> bool:
+    def apply_shared_answer(self, text: bytes) -> bool:
         """Take in events that another front has read; return whether they go on from where this one is."""
         try:
-            accepted = self._accept(read_text(text, self._names), None)
-        except Malformed:
+            accepted = self._accept(parse_answer(text, self._names), None)
+        except ProtocolError:
             accepted = "unreadable"
         if accepted:
             # Discovery itself was not asked yet: it may still tell what is missing.
-            self._sequence.forget_doubt()
+            self._sequence.reset_retry()
         return not accepted
 
     async def run(self) -> None:
@@ -148,30 +154,30 @@
         """Do what the schedule says; return after how many ms it is to be asked again."""
         now = self._clock()
         check = self._schedule.check(now)
-        for number in check.lost:
+        for number in check.abandoned:
             self._give_up(number, "no answer")
-        if check.begin and self.rests():
+        if check.start_connection and self.is_passive():
             return REST
-        if check.begin:
+        if check.start_connection:
             self._begin(now)
             check = self._schedule.check(now)
-        return max(check.look_at - now, 1.0)
+        return max(check.next_check_at - now, 1.0)
 
     def _begin(self, now: float) -> None:
         assert self._tasks is not None
         if len(self._schedule):
             COUNTERS.add("changelog.overdue")
         self._begun += 1
-        self._schedule.begun(self._begun, now)
+        self._schedule.connection_started(self._begun, now)
         try:
             connection = DiscoveryConnection(self._address)
         except OSError as error:  # no descriptor: another try follows
-            self._schedule.failed(self._begun, now)
+            self._schedule.connection_failed(self._begun, now)
             self._say_failed(error, "connecting", 0.0)
             return
         poll = Poll(self._begun, connection, anyio.CancelScope(), now)
         self._polls[poll.number] = poll
-        COUNTERS.see("changelog.connections", len(self._polls))
+        COUNTERS.record_max("changelog.connections", len(self._polls))
         self._tasks.start_soon(self._run, poll)
 
     async def _run(self, poll: Poll) -> None:
@@ -181,10 +187,10 @@
                 await poll.connection.connect()
                 while await self._ask(poll):
                     while poll.connection.pending:
-                        await poll.connection.wait()
+                        await poll.connection.wait_for_input()
                         self._read(poll)
                     if poll.was_empty:  # one that answers at once with nothing must not keep the front busy
-                        await anyio.sleep(self._schedule.terms.first_wait / 1000.0)
+                        await anyio.sleep(self._schedule.terms.initial_back_off / 1000.0)
         except Exception as error:  # whatever it is, the list held stays and another poll begins
             self._fail(poll, error)
         finally:
@@ -194,18 +200,18 @@
         """Write the next poll; False where the connection is not to be used again."""
         if poll.number not in self._polls:
             return False
-        self.notice_stand_still()
+        self.detect_process_pause()
         now = self._clock()
         is_wanted = not poll.was_answered or self._confirmation.unconfirmed_for(now) is not None
-        hold = self._schedule.asked(poll.number, now, at_once=is_wanted)
-        self._confirmation.asked(poll.number, now, hold, is_watch=poll.was_answered)
+        hold = self._schedule.poll_sent(poll.number, now, immediate=is_wanted)
+        self._confirmation.poll_sent(poll.number, now, hold, is_long_poll=poll.was_answered)
         poll.phase, poll.began_at = "asked", now
-        await poll.connection.ask(path(self.last, round(hold)))
+        await poll.connection.send_poll(poll_path(self.last_seq, round(hold)))
         return True
 
     def _read(self, poll: Poll) -> None:
         """Read what has come on a connection; an answer is taken in at once."""
-        self.notice_stand_still()
+        self.detect_process_pause()
         try:
             text = poll.connection.read()
             if text is not None:
@@ -214,43 +220,43 @@
             self._fail(poll, error)
 
     def _answered(self, poll: Poll, text: bytes) -> None:
-        changes = read_text(text, self._names)
+        changes = parse_answer(text, self._names)
         poll.was_empty = not changes
         fault = self._accept(changes, poll)
         if fault:
-            raise Malformed(fault)
+            raise ProtocolError(fault)
         now = self._clock()
         poll.was_answered = True
-        if confirmed := self._confirmation.answered(poll.number, now):
+        if confirmed := self._confirmation.poll_answered(poll.number, now):
             self._say_confirmed(confirmed)
-        goes_on = self._schedule.answered(poll.number, now)
-        self.polled(text)
+        goes_on = self._schedule.poll_answered(poll.number, now)
+        self.on_answer(text)
         self._changed.set()
-        if not goes_on or self.rests() or not poll.connection.may_ask_again():
+        if not goes_on or self.is_passive() or not poll.connection.prepare_next_poll():
             self._forget(poll)
             poll.scope.cancel()
 
-    def _accept(self, changes: list[Change], poll: Poll | None) -> str:
+    def _accept(self, changes: list[DiscoveryEvent], poll: Poll | None) -> str:
         """Hand on what is new of an answer; return what is wrong with it (empty: nothing)."""
         accepted = self._sequence.accept(changes)
-        if accepted.repeated:
-            COUNTERS.add("changelog.repeated", accepted.repeated)
-        for unusable in accepted.passed_over:
+        if accepted.duplicates:
+            COUNTERS.add("changelog.repeated", accepted.duplicates)
+        for unusable in accepted.skipped:
             COUNTERS.add("changelog.passed_over")
-            say("changelog.passed_over", seq=unusable.seq, why=unusable.why)
+            log_event("changelog.passed_over", seq=unusable.seq, why=unusable.reason)
         waited = self._clock() - poll.began_at if poll is not None else 0.0
-        for change in accepted.changes:
+        for change in accepted.events:
             _say_applied(change, waited)
-        if accepted.changes:
-            COUNTERS.add("changelog.events", len(accepted.changes))
-            self._hand_on(accepted.changes)
-        return accepted.fault
+        if accepted.events:
+            COUNTERS.add("changelog.events", len(accepted.events))
+            self._hand_on(accepted.events)
+        return accepted.error
 
     def _give_up(self, number: int, why: str) -> None:
         """End a connection; what lies unread on it is taken in first."""
         poll = self._polls.get(number)
         if poll is None:
-            self._schedule.ended(number)
+            self._schedule.connection_closed(number)
             return
         self._read(poll)
         if poll.number in self._polls:
@@ -262,34 +268,34 @@
         COUNTERS.add("changelog.failed")
         now = self._clock()
         self._say_failed(error, poll.phase, now - poll.began_at)
-        self._schedule.failed(poll.number, now)
+        self._schedule.connection_failed(poll.number, now)
         if isinstance(error, ConnectionRefusedError) or getattr(error, "errno", 0) == errno.ECONNREFUSED:
-            self._confirmation.refused(now)
+            self._confirmation.connection_refused(now)
         self._forget(poll)
         poll.scope.cancel()
 
     def _say_failed(self, error: Exception, phase: str, waited: float) -> None:
         kind, why = type(error).__name__, str(error)
-        say("changelog.failed", kind=kind, why=why, phase=phase, waited=waited, since=self.last)
+        log_event("changelog.failed", kind=kind, why=why, phase=phase, waited=waited, since=self.last_seq)
 
     def _say_confirmed(self, confirmed: Confirmed) -> None:
         sent, self._sent_unconfirmed = self._sent_unconfirmed, 0
-        COUNTERS.see("discovery.unconfirmed_ms", confirmed.lasted)
-        say("discovery.confirmed", cause=str(confirmed.cause), lasted=confirmed.lasted, sent=sent)
+        COUNTERS.record_max("discovery.unconfirmed_ms", confirmed.duration)
+        log_event("discovery.confirmed", cause=str(confirmed.cause), lasted=confirmed.duration, sent=sent)
 
     def _forget(self, poll: Poll) -> None:
         if self._polls.pop(poll.number, None) is not None:
-            self._confirmation.ended(poll.number, self._clock())
-            self._schedule.ended(poll.number)
+            self._confirmation.poll_ended(poll.number, self._clock())
+            self._schedule.connection_closed(poll.number)
             self._changed.set()
         poll.connection.close()
 
 
-def _say_applied(change: Change, waited: float) -> None:
+def _say_applied(change: DiscoveryEvent, waited: float) -> None:
     """Log a change of the list of endpoints: who is in which state from now on."""
-    if not isinstance(change, Listing):
+    if not isinstance(change, EndpointList):
         return
-    states = [f"{line.name} {line.lifecycle.name.lower()}" for line in change.lines[:NAMED]]
-    more = len(change.lines) - len(states)
+    states = [f"{line.name} {line.lifecycle.name.lower()}" for line in change.entries[:NAMED]]
+    more = len(change.entries) - len(states)
     endpoints = ", ".join(states) + (f" and {more} more" if more else "")
-    say("changelog.applied", seq=change.seq, endpoints=endpoints, waited=waited)
+    log_event("changelog.applied", seq=change.seq, endpoints=endpoints, waited=waited)
--- a/cometseam/discovery/confirmation.py
+++ b/cometseam/discovery/confirmation.py
@@ -10,45 +10,45 @@
 from enum import StrEnum
 
 
-class Cause(StrEnum):
+class UnconfirmedCause(StrEnum):
     """Why what is known is unconfirmed."""
 
     START = "start"
-    STAND_STILL = "stand-still"
-    NOT_ASKED = "not asked"
+    PROCESS_PAUSED = "stand-still"
+    NOT_POLLED = "not asked"
 
 
 @dataclass(frozen=True, slots=True)
-class ConfirmationTerms:
+class ConfirmationPolicy:
     """Spans in milliseconds. Past the waits requests go out by what is known: discovery may be down.
 
     At a start the wait costs little, as others serve meanwhile, and what is known may be old; a front that
     serves already waits less, and not at all where discovery refuses connections.
     """
 
-    longest_gap: float = 250.0  # without a poll outstanding, past which what is known is unconfirmed
+    max_gap: float = 250.0  # without a poll outstanding, past which what is known is unconfirmed
     start_wait: float = 2000.0  # that requests wait for the first answer
     gap_wait: float = 250.0  # that requests wait for an answer after a gap
-    refusals: int = 3  # connections refused in a row after which a front that serves does not wait
+    max_refusals: int = 3  # connections refused in a row after which a front that serves does not wait
 
     @classmethod
-    def for_grace(cls, grace: float) -> "ConfirmationTerms":
+    def for_drain_grace(cls, grace: float) -> "ConfirmationPolicy":
         """Return the terms for a grace of drains in ms: a gap is at most half of it."""
         usual = cls()
-        return cls(longest_gap=min(usual.longest_gap, 0.5 * grace))
+        return cls(max_gap=min(usual.max_gap, 0.5 * grace))
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmed:
     """What was known has been confirmed: why it was not before, and for how long (ms)."""
 
-    cause: Cause
-    lasted: float
+    cause: UnconfirmedCause
+    duration: float
 
 
 @dataclass(frozen=True, slots=True)
 class _Unconfirmed:
-    cause: Cause
+    cause: UnconfirmedCause
     since: float
     asked_from: float  # an answer to a poll asked from then on confirms
     wait_until: float
@@ -61,37 +61,39 @@
     is_watch: bool  # held by discovery until something happens, on a connection that has been answered
 
 
-class Confirmation:
+class ConfirmationTracker:
     """Follows the polls of one front."""
 
-    def __init__(self, terms: ConfirmationTerms, now: float) -> None:
+    def __init__(self, terms: ConfirmationPolicy, now: float) -> None:
         """Begin with a list of unknown age."""
         self._terms = terms
         self._asked: dict[int, _Asked] = {}
         self._unasked_since = now  # while no watch is outstanding
         self._refusals = 0
-        self._state: _Unconfirmed | None = _Unconfirmed(Cause.START, now, now, now + terms.start_wait)
+        self._state: _Unconfirmed | None = _Unconfirmed(
+            UnconfirmedCause.START, now, now, now + terms.start_wait
+        )
 
     def unconfirmed_for(self, now: float) -> float | None:
         """Return for how long what is known has been unconfirmed; None where it is confirmed."""
         self._look(now)
         return None if self._state is None else now - self._state.since
 
-    def wait(self, now: float) -> float:
+    def remaining_wait(self, now: float) -> float:
         """Return for how long requests wait at most until discovery has answered; 0: they may go out."""
         self._look(now)
         return 0.0 if self._state is None else max(self._state.wait_until - now, 0.0)
 
-    def asked(self, number: int, now: float, hold: float, is_watch: bool) -> None:
+    def poll_sent(self, number: int, now: float, hold: float, is_long_poll: bool) -> None:
         """Take in that a poll is written on a connection."""
         self._look(now)
-        self._asked[number] = _Asked(now, now + hold, is_watch and self._state is None)
+        self._asked[number] = _Asked(now, now + hold, is_long_poll and self._state is None)
 
-    def answered(self, number: int, now: float) -> Confirmed | None:
+    def poll_answered(self, number: int, now: float) -> Confirmed | None:
         """Take in that a poll is answered; return what that has confirmed."""
         self._look(now)
         asked = self._asked.get(number)
-        self.ended(number, now)
+        self.poll_ended(number, now)
         self._refusals = 0
         state = self._state
         if asked is None or state is None or asked.at < state.asked_from:
@@ -99,36 +101,40 @@
         self._state, self._unasked_since = None, now
         return Confirmed(state.cause, now - state.since)
 
-    def ended(self, number: int, now: float) -> None:
+    def poll_ended(self, number: int, now: float) -> None:
         """Take in that a poll is answered, or that its connection has ended."""
         asked = self._asked.pop(number, None)
         if asked is not None and asked.is_watch and not self._is_watched():
             self._unasked_since = now
 
-    def refused(self, now: float) -> None:
+    def connection_refused(self, now: float) -> None:
         """Take in that discovery refuses connections: it tells nobody anything."""
         self._refusals += 1
         state = self._state
-        if state is not None and state.cause is not Cause.START and self._refusals >= self._terms.refusals:
+        if (
+            state is not None
+            and state.cause is not UnconfirmedCause.START
+            and self._refusals >= self._terms.max_refusals
+        ):
             self._state = _Unconfirmed(state.cause, state.since, state.asked_from, min(state.wait_until, now))
 
-    def moved(self, now: float) -> None:
+    def address_changed(self, now: float) -> None:
         """Take in that discovery has another address: polls outstanding at the old one show nothing of it."""
         self._look(now)
         self._asked.clear()
         self._unasked_since = now
 
-    def stood_still(self, now: float, lasted: float) -> None:
+    def process_paused(self, now: float, lasted: float) -> None:
         """Take in that the process goes on after it has stood still for so long.
 
         A poll that was outstanding all the while, and is not due yet, would have been answered.
         """
-        if lasted <= self._terms.longest_gap or self._covers(now - lasted, now):
+        if lasted <= self._terms.max_gap or self._covers(now - lasted, now):
             return
-        self._state = _Unconfirmed(Cause.STAND_STILL, now, now, now + self._terms.gap_wait)
+        self._state = _Unconfirmed(UnconfirmedCause.PROCESS_PAUSED, now, now, now + self._terms.gap_wait)
 
     def _covers(self, since: float, now: float) -> bool:
-        due_from = now - self._terms.longest_gap
+        due_from = now - self._terms.max_gap
         watches = (each for each in self._asked.values() if each.is_watch)
         return any(each.at <= since and each.until >= due_from for each in watches)
 
@@ -137,7 +143,7 @@
 
     def _look(self, now: float) -> None:
         """Notice that no watch has been outstanding for too long."""
-        since = self._unasked_since + self._terms.longest_gap
+        since = self._unasked_since + self._terms.max_gap
         if self._state is None and not self._is_watched() and now > since:
             wait_until = since + self._terms.gap_wait
-            self._state = _Unconfirmed(Cause.NOT_ASKED, since, self._unasked_since, wait_until)
+            self._state = _Unconfirmed(UnconfirmedCause.NOT_POLLED, since, self._unasked_since, wait_until)
--- a/cometseam/discovery/connection.py
+++ b/cometseam/discovery/connection.py
@@ -11,8 +11,8 @@
 import anyio
 import h11
 
-from cometseam.protocol import Malformed
-from cometseam.protocol.changelog import MOST
+from cometseam.protocol import ProtocolError
+from cometseam.protocol.discovery_events import MAX_ANSWER_BYTES
 
 READ_SIZE = 65536  # bytes a call
 HEAD_SIZE = 65536  # bytes of an answer's head at the most
@@ -45,7 +45,7 @@
             raise OSError(failed, "not connected")
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    async def ask(self, target: str) -> None:
+    async def send_poll(self, target: str) -> None:
         """Write a poll."""
         host = f"{self.address[0]}:{self.address[1]}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
@@ -58,7 +58,7 @@
             except (BlockingIOError, InterruptedError):
                 await anyio.wait_writable(self._socket)
 
-    async def wait(self) -> None:
+    async def wait_for_input(self) -> None:
         """Wait until something has come in, or `read` has had the answer meanwhile."""
         if not self.pending:
             return
@@ -70,7 +70,7 @@
         """Read what has come in; return the answer's text once it is whole.
 
         Raises:
-            Malformed: the answer is of no use, or the connection ended inside it.
+            ProtocolError: the answer is of no use, or the connection ended inside it.
             OSError: the connection broke.
             h11.RemoteProtocolError: what came is no HTTP.
         """
@@ -95,17 +95,17 @@
                 return None if self._has_end else self._whole_without_end()
             if isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise Malformed(f"status {event.status_code}")
+                    raise ProtocolError(f"status {event.status_code}")
                 names = {name for name, _ in event.headers}
                 self._has_end = bool(names & {b"content-length", b"transfer-encoding"})
             elif isinstance(event, h11.Data):
                 self._body += event.data
-                if len(self._body) > MOST:
-                    raise Malformed("an answer that does not end")
+                if len(self._body) > MAX_ANSWER_BYTES:
+                    raise ProtocolError("an answer that does not end")
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(self._body)
             elif isinstance(event, h11.ConnectionClosed):
-                raise Malformed("the connection ended inside an answer")
+                raise ProtocolError("the connection ended inside an answer")
 
     def _whole_without_end(self) -> bytes | None:
         """Return an answer that only the connection's end would end, once its text is whole."""
@@ -117,7 +117,7 @@
             return None
         return bytes(self._body)
 
-    def may_ask_again(self) -> bool:
+    def prepare_next_poll(self) -> bool:
         """Make ready for the next poll; False where the connection has to end after this answer."""
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
--- a/cometseam/discovery/schedule.py
+++ b/cometseam/discovery/schedule.py
@@ -9,42 +9,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PollTerms:
+class PollPolicy:
     """Spans in milliseconds, and how many connections there may be.
 
     What discovery would have told, had it been asked, counts as known; so every wait of the front's own is
-    well under the grace of a drain (`for_grace`). By default a silent connection is followed by another
+    well under the grace of a drain (`for_drain_grace`). By default a silent connection is followed by another
     after 2.0 s, and then by one each 250 ms, until one is answered.
     """
 
     hold: float = 1500.0  # how long discovery may keep a poll that it has nothing to tell
     quick_hold: float = 1.0  # the same of a poll that begins beside an overdue one: it is answered at once
-    answer_patience: float = 500.0  # past its hold, an unanswered poll is overdue
-    quick_patience: float = 200.0  # the same of a poll that is to be answered at once
-    connect_patience: float = 200.0  # a connection that has not come up by then is overdue
-    lost_after: float = 5000.0  # past its hold, an unanswered poll is given up
-    connect_lost_after: float = 1000.0  # a connection that has not come up by then is given up
-    gap: float = 250.0  # between two connections that begin beside each other
-    first_wait: float = 20.0  # after a connection that failed, until another begins; it doubles
-    longest_wait: float = 100.0
-    most: int = 8  # connections at once
-    kept: int = 2  # of them, the oldest polls, that are never given up early
+    answer_allowance: float = 500.0  # past its hold, an unanswered poll is overdue
+    quick_allowance: float = 200.0  # the same of a poll that is to be answered at once
+    connect_allowance: float = 200.0  # a connection that has not come up by then is overdue
+    abandon_after: float = 5000.0  # past its hold, an unanswered poll is given up
+    connect_abandon_after: float = 1000.0  # a connection that has not come up by then is given up
+    connection_interval: float = 250.0  # between two connections that begin beside each other
+    initial_back_off: float = 20.0  # after a connection that failed, until another begins; it doubles
+    max_back_off: float = 100.0
+    max_connections: int = 8  # connections at once
+    protected_polls: int = 2  # of them, the oldest polls, that are never given up early
 
     @classmethod
-    def for_grace(cls, grace: float) -> "PollTerms":
+    def for_drain_grace(cls, grace: float) -> "PollPolicy":
         """Return the terms for a grace of drains in ms: no wait is over half of it."""
         usual = cls()
-        patience = min(usual.quick_patience, 0.4 * grace)
+        patience = min(usual.quick_allowance, 0.4 * grace)
         return cls(
-            quick_patience=patience,
-            connect_patience=patience,
-            gap=min(usual.gap, 0.5 * grace),
-            longest_wait=max(min(usual.longest_wait, 0.2 * grace), usual.first_wait),
+            quick_allowance=patience,
+            connect_allowance=patience,
+            connection_interval=min(usual.connection_interval, 0.5 * grace),
+            max_back_off=max(min(usual.max_back_off, 0.2 * grace), usual.initial_back_off),
         )
 
 
 @dataclass(slots=True)
-class Outstanding:
+class TrackedConnection:
     """One connection: coming up (`hold` is None), or with a poll that is not answered yet."""
 
     since: float
@@ -53,41 +53,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Check:
+class ScheduleDecision:
     """What is to be done now, and when to look again (the same clock)."""
 
-    begin: bool
-    lost: tuple[int, ...]
-    look_at: float
+    start_connection: bool
+    abandoned: tuple[int, ...]
+    next_check_at: float
 
 
 class PollSchedule:
     """Decides for all connections of one front; a connection goes by a number that the caller gives it."""
 
-    def __init__(self, terms: PollTerms) -> None:
+    def __init__(self, terms: PollPolicy) -> None:
         """Begin with no connection."""
         self.terms = terms
-        self._outstanding: dict[int, Outstanding] = {}
+        self._outstanding: dict[int, TrackedConnection] = {}
         self._begin_from = float("-inf")  # no connection begins before
-        self._wait = terms.first_wait
+        self._wait = terms.initial_back_off
 
     def __len__(self) -> int:
         """Return how many connections there are."""
         return len(self._outstanding)
 
-    def check(self, now: float) -> Check:
+    def check(self, now: float) -> ScheduleDecision:
         """Tell whether another connection is to begin, and which ones are given up."""
         lost = tuple(number for number, each in self._outstanding.items() if self._lost_at(each) <= now)
         live = [each for number, each in self._outstanding.items() if number not in lost]
         overdue_at = max((self._overdue_at(each) for each in live if each.current), default=now)
         begin_at = max(overdue_at, self._begin_from)
         begin = begin_at <= now
-        if begin and len(live) >= self.terms.most:
+        if begin and len(live) >= self.terms.max_connections:
             lost = (*lost, self._least_promising(lost))
         times = [self._lost_at(each) for number, each in self._outstanding.items() if number not in lost]
         if not begin:
             times.append(begin_at)
-        return Check(begin, lost, min(times, default=now + self.terms.hold))
+        return ScheduleDecision(begin, lost, min(times, default=now + self.terms.hold))
 
     def _least_promising(self, lost: tuple[int, ...]) -> int:
         """Return the connection that gives its place to another.
@@ -100,15 +100,15 @@
         coming_up = [number for number, each in left.items() if each.hold is None]
         if coming_up:
             return max(coming_up, key=lambda number: left[number].since)
-        return sorted(left, key=lambda number: left[number].since)[self.terms.kept]
+        return sorted(left, key=lambda number: left[number].since)[self.terms.protected_polls]
 
-    def begun(self, number: int, now: float) -> None:
+    def connection_started(self, number: int, now: float) -> None:
         """Take in that a connection begins to come up."""
         if any(each.current for each in self._outstanding.values()):
-            self._begin_from = now + self.terms.gap
-        self._outstanding[number] = Outstanding(now)
+            self._begin_from = now + self.terms.connection_interval
+        self._outstanding[number] = TrackedConnection(now)
 
-    def asked(self, number: int, now: float, at_once: bool = False) -> float:
+    def poll_sent(self, number: int, now: float, immediate: bool = False) -> float:
         """Take in that a poll is written on a connection; return how long discovery may hold it.
 
         Args:
@@ -119,56 +119,56 @@
         outstanding = self._outstanding[number]
         is_first = outstanding.hold is None
         others = [each for other, each in self._outstanding.items() if other != number and each.current]
-        at_once = at_once or (is_first and bool(others))
-        hold = self.terms.quick_hold if at_once else self.terms.hold
+        immediate = immediate or (is_first and bool(others))
+        hold = self.terms.quick_hold if immediate else self.terms.hold
         outstanding.since, outstanding.hold = now, hold
         return hold
 
-    def answered(self, number: int, now: float) -> bool:
+    def poll_answered(self, number: int, now: float) -> bool:
         """Take in an answer; return whether the next poll goes over the same connection.
 
         It does not where another connection polls well, or where discovery has moved.
         """
-        self._wait = self.terms.first_wait
+        self._wait = self.terms.initial_back_off
         # One that answers at once with nothing, and ends each connection, must not keep the front busy.
-        self._begin_from = now + self.terms.first_wait
+        self._begin_from = now + self.terms.initial_back_off
         answered = self._outstanding[number]
         others = [each for other, each in self._outstanding.items() if other != number and each.current]
         return answered.current and not any(now < self._overdue_at(each) for each in others)
 
-    def ended(self, number: int) -> None:
+    def connection_closed(self, number: int) -> None:
         """Take in that a connection is closed."""
         self._outstanding.pop(number, None)
 
-    def failed(self, number: int, now: float) -> None:
+    def connection_failed(self, number: int, now: float) -> None:
         """Take in that a connection broke, was refused, or brought what cannot be used."""
-        self.ended(number)
+        self.connection_closed(number)
         self._begin_from = now + self._wait
-        self._wait = min(2.0 * self._wait, self.terms.longest_wait)
+        self._wait = min(2.0 * self._wait, self.terms.max_back_off)
 
-    def moved(self, now: float) -> list[int]:
+    def address_changed(self, now: float) -> list[int]:
         """Take in that discovery has another address: a connection to it begins at once.
 
         Polls that are outstanding at the old one may still be answered. Returned are the connections that are
         to end: those with no poll yet, and the oldest where there would be no place for the new one.
         """
-        self._wait, self._begin_from = self.terms.first_wait, now
+        self._wait, self._begin_from = self.terms.initial_back_off, now
         for each in self._outstanding.values():
             each.current = False
         ends = [number for number, each in self._outstanding.items() if each.hold is None]
         polled = [number for number in self._outstanding if number not in ends]
-        if len(polled) >= self.terms.most:
+        if len(polled) >= self.terms.max_connections:
             ends.append(min(polled, key=lambda number: self._outstanding[number].since))
         return ends
 
-    def _overdue_at(self, each: Outstanding) -> float:
+    def _overdue_at(self, each: TrackedConnection) -> float:
         if each.hold is None:
-            return each.since + self.terms.connect_patience
+            return each.since + self.terms.connect_allowance
         is_quick = each.hold <= self.terms.quick_hold
-        patience = self.terms.quick_patience if is_quick else self.terms.answer_patience
+        patience = self.terms.quick_allowance if is_quick else self.terms.answer_allowance
         return each.since + each.hold + patience
 
-    def _lost_at(self, each: Outstanding) -> float:
+    def _lost_at(self, each: TrackedConnection) -> float:
         if each.hold is None:
-            return each.since + self.terms.connect_lost_after
-        return each.since + each.hold + self.terms.lost_after
+            return each.since + self.terms.connect_abandon_after
+        return each.since + each.hold + self.terms.abandon_after
--- a/cometseam/events.py
+++ b/cometseam/events.py
@@ -1,6 +1,6 @@
 """The one vocabulary of what the program logs: each event by name, with level, text and typed fields.
 
-`say` is the only way to the log. Text lines are for people; with `COMETSEAM_LOG_FORMAT=json` or `--log-
+`log_event` is the only way to the log. Text lines are for people; with `COMETSEAM_LOG_FORMAT=json` or `--log-
 format json` each line is one JSON object with `time` (ISO 8601, UTC), `level`, `event` and the event's
 fields.
 """
@@ -15,119 +15,139 @@
 
 from cometseam.counters import COUNTERS
 
-QUIET = 1.0  # s in which one event that others cause at will is logged once; all are counted
+RATE_LIMIT_WINDOW_S = 1.0  # s in which one event that others cause at will is logged once; all are counted
 
 
-class Known(NamedTuple):
-    """One kind of event: `flood`, the other side may cause it at will."""
+class EventSpec(NamedTuple):
+    """One kind of event: `rate_limited`, the other side may cause it at will."""
 
     level: str
     text: str
     fields: dict[str, type]
-    flood: bool = False
+    rate_limited: bool = False
 
 
-EVENTS: dict[str, Known] = {
-    "actor.failed": Known("ERROR", "a {kind} failed", {"kind": str}),
-    "attempt.after_drain": Known(
+EVENTS: dict[str, EventSpec] = {
+    "actor.failed": EventSpec("ERROR", "a {kind} failed", {"kind": str}),
+    "attempt.after_drain": EventSpec(
         "ERROR",
         "request {request} is written to {endpoint} (source {source}), {after:.0f} ms after its drain",
-        {"request": str, "endpoint": str, "source": str, "after": float}, True,
+        {"request": str, "endpoint": str, "source": str, "after": float},
+        True,
     ),
-    "attempt.unconfirmed": Known(
+    "attempt.unconfirmed": EventSpec(
         "WARNING",
         "request {request} is written to {endpoint}; the list is unconfirmed for {lasted:.0f} ms",
-        {"request": str, "endpoint": str, "lasted": float}, True,
+        {"request": str, "endpoint": str, "lasted": float},
+        True,
     ),
-    "changelog.applied": Known(
-        "INFO", "the change log: event {seq}: {endpoints}; asked for {waited:.0f} ms before",
+    "changelog.applied": EventSpec(
+        "INFO",
+        "the change log: event {seq}: {endpoints}; asked for {waited:.0f} ms before",
         {"seq": int, "endpoints": str, "waited": float},
     ),
-    "changelog.failed": Known(
-        "WARNING", "the change log: {kind}: {why} ({phase}, {waited:.0f} ms, events after {since})",
-        {"kind": str, "why": str, "phase": str, "waited": float, "since": int}, True,
+    "changelog.failed": EventSpec(
+        "WARNING",
+        "the change log: {kind}: {why} ({phase}, {waited:.0f} ms, events after {since})",
+        {"kind": str, "why": str, "phase": str, "waited": float, "since": int},
+        True,
     ),
-    "changelog.passed_over": Known(
+    "changelog.passed_over": EventSpec(
         "ERROR", "the change log: event {seq} is passed over: {why}", {"seq": int, "why": str}
     ),
-    "client.ended": Known(
-        "INFO", "a client's connection ended ({why}) with {pending} requests unanswered",
-        {"why": str, "pending": int}, True,
-    ),
-    "client.failed": Known("ERROR", "a client's connection failed", {}),
-    "client.not_accepted": Known("WARNING", "a connection was not accepted: {why}", {"why": str}, True),
-    "client.unusable": Known("WARNING", "a client sent what can't be used: {why}", {"why": str}, True),
-    "config.faulty": Known("ERROR", "configuration: {why}; the one that runs stays", {"why": str}),
-    "config.needs_restart": Known(
+    "client.ended": EventSpec(
+        "INFO",
+        "a client's connection ended ({why}) with {pending} requests unanswered",
+        {"why": str, "pending": int},
+        True,
+    ),
+    "client.failed": EventSpec("ERROR", "a client's connection failed", {}),
+    "client.not_accepted": EventSpec("WARNING", "a connection was not accepted: {why}", {"why": str}, True),
+    "client.unusable": EventSpec("WARNING", "a client sent what can't be used: {why}", {"why": str}, True),
+    "config.faulty": EventSpec("ERROR", "configuration: {why}; the one that runs stays", {"why": str}),
+    "config.needs_restart": EventSpec(
         "WARNING", "configuration: {key}: has changed, which needs a restart", {"key": str}
     ),
-    "config.read": Known("INFO", "configuration: read anew", {}),
-    "discovery.confirmed": Known(
+    "config.read": EventSpec("INFO", "configuration: read anew", {}),
+    "discovery.confirmed": EventSpec(
         "INFO",
         "discovery confirms the list, unconfirmed for {lasted:.0f} ms ({cause}); {sent} attempts meanwhile",
         {"cause": str, "lasted": float, "sent": int},
     ),
-    "fleet.heard": Known(
-        "INFO", "fleet: {cache} heard {word} (token {token}, ruling {number})",
+    "fleet.heard": EventSpec(
+        "INFO",
+        "fleet: {cache} heard {word} (token {token}, ruling {number})",
         {"cache": str, "word": str, "token": int, "number": int},
     ),
-    "fleet.lapsed": Known("INFO", "fleet: the ruling on {cache} ended unsaid", {"cache": str}),
-    "fleet.ruled": Known(
-        "WARNING", "fleet: {cache} is ruled {word} (token {token}, ruling {number})",
+    "fleet.lapsed": EventSpec("INFO", "fleet: the ruling on {cache} ended unsaid", {"cache": str}),
+    "fleet.ruled": EventSpec(
+        "WARNING",
+        "fleet: {cache} is ruled {word} (token {token}, ruling {number})",
         {"cache": str, "word": str, "token": int, "number": int},
     ),
-    "fleet.task": Known(
-        "INFO", "fleet: {task}: {state}, token {token}: {why}",
+    "fleet.task": EventSpec(
+        "INFO",
+        "fleet: {task}: {state}, token {token}: {why}",
         {"task": str, "state": str, "token": int, "why": str},
     ),
-    "front.counters": Known("INFO", "counters ({why}): {counts}", {"why": str, "counts": dict}),
-    "front.drains": Known("INFO", "{name} drains", {"name": str}),
-    "front.listens": Known(
+    "front.counters": EventSpec("INFO", "counters ({why}): {counts}", {"why": str, "counts": dict}),
+    "front.drains": EventSpec("INFO", "{name} drains", {"name": str}),
+    "front.listens": EventSpec(
         "INFO", "{name} listens at {host}:{port}", {"name": str, "host": str, "port": int}
     ),
-    "level.changed": Known(
-        "WARNING", "level of service: {before} to {after}: {why}; {values}; after {stayed:.0f} ms",
+    "level.changed": EventSpec(
+        "WARNING",
+        "level of service: {before} to {after}: {why}; {values}; after {stayed:.0f} ms",
         {"before": str, "after": str, "why": str, "values": dict, "stayed": float},
     ),
-    "level.found": Known("INFO", "level of service: {level}, as before the restart", {"level": str}),
-    "level.mapped": Known(
+    "level.found": EventSpec("INFO", "level of service: {level}, as before the restart", {"level": str}),
+    "level.mapped": EventSpec(
         "WARNING", "level of service: {before} to {after}, by another file", {"before": str, "after": str}
     ),
-    "level.not_kept": Known("WARNING", "level of service: not kept or not found: {why}", {"why": str}, True),
-    "module.failed": Known("ERROR", "the module failed on a {kind}", {"kind": str}),
-    "module.says": Known("INFO", "the module says: {text}", {"text": str}),
-    "operator.refused": Known(
-        "ERROR", "operator's file: {place}{path}{reason}; the one that runs stays",
+    "level.not_kept": EventSpec(
+        "WARNING", "level of service: not kept or not found: {why}", {"why": str}, True
+    ),
+    "module.failed": EventSpec("ERROR", "the module failed on a {kind}", {"kind": str}),
+    "module.says": EventSpec("INFO", "the module says: {text}", {"text": str}),
+    "operator.refused": EventSpec(
+        "ERROR",
+        "operator's file: {place}{path}{reason}; the one that runs stays",
         {"place": str, "path": str, "reason": str},
     ),
-    "operator.taken": Known(
-        "INFO", "operator's file: taken over, {routes} routes, {plans} plans, digest {digest}",
+    "operator.taken": EventSpec(
+        "INFO",
+        "operator's file: taken over, {routes} routes, {plans} plans, digest {digest}",
         {"routes": int, "plans": int, "digest": str},
     ),
-    "pull.traced": Known(
-        "INFO", "pull {id} ({workload}) {kind} after {took} ms, {late} of {quoted}: {steps}",
+    "pull.traced": EventSpec(
+        "INFO",
+        "pull {id} ({workload}) {kind} after {took} ms, {late} of {quoted}: {steps}",
         {"id": str, "workload": str, "kind": str, "took": float, "quoted": float, "late": str, "steps": str},
     ),
-    "peer.connection_ended": Known(
-        "INFO", "{peer}: a connection ended ({why}) with {unanswered} attempts unanswered",
-        {"peer": str, "why": str, "unanswered": int}, True,
+    "peer.connection_ended": EventSpec(
+        "INFO",
+        "{peer}: a connection ended ({why}) with {unanswered} attempts unanswered",
+        {"peer": str, "why": str, "unanswered": int},
+        True,
+    ),
+    "peer.connection_failed": EventSpec("ERROR", "{peer}: a connection failed", {"peer": str}),
+    "peer.counters": EventSpec(
+        "INFO", "peer ({why}): {peer} {ends}", {"why": str, "peer": str, "ends": dict}
     ),
-    "peer.connection_failed": Known("ERROR", "{peer}: a connection failed", {"peer": str}),
-    "peer.counters": Known("INFO", "peer ({why}): {peer} {ends}", {"why": str, "peer": str, "ends": dict}),
-    "peer.local_failure": Known(
+    "peer.local_failure": EventSpec(
         "WARNING", "{peer}: no connection, for want of this machine: {why}", {"peer": str, "why": str}, True
     ),
-    "peer.message_failed": Known("ERROR", "{peer}: a message failed", {"peer": str}),
-    "peer.not_connected": Known("DEBUG", "{peer}: not connected: {why}", {"peer": str, "why": str}),
-    "peer.unusable": Known(
+    "peer.message_failed": EventSpec("ERROR", "{peer}: a message failed", {"peer": str}),
+    "peer.not_connected": EventSpec("DEBUG", "{peer}: not connected: {why}", {"peer": str, "why": str}),
+    "peer.unusable": EventSpec(
         "WARNING", "{peer} sent what can't be used: {why}", {"peer": str, "why": str}, True
     ),
-    "timer.failed": Known("ERROR", "a timer failed", {}),
-}  # fmt: skip
+    "timer.failed": EventSpec("ERROR", "a timer failed", {}),
+}
 _logged: dict[str, float] = {}  # when an event that floods was last logged; as many as there are kinds
 
 
-def say(event: str, error: BaseException | None = None, /, **fields: Any) -> None:
+def log_event(event: str, error: BaseException | None = None, /, **fields: Any) -> None:
     """Log an event with its fields; `error` adds where it was raised.
 
     Of what the other side may cause at will one line of a kind goes out in a while; the rest is counted.
@@ -135,9 +155,9 @@
     known = EVENTS[event]
     assert fields.keys() == known.fields.keys(), f"{event}: {sorted(fields)}"
     assert all(isinstance(fields[name], kind) for name, kind in known.fields.items()), f"{event}: {fields}"
-    if known.flood:
+    if known.rate_limited:
         now = time.monotonic()
-        if now - _logged.get(event, -QUIET) < QUIET:
+        if now - _logged.get(event, -RATE_LIMIT_WINDOW_S) < RATE_LIMIT_WINDOW_S:
             COUNTERS.add("log.left_out")
             return
         _logged[event] = now
@@ -169,7 +189,7 @@
     sys.stderr.flush()
 
 
-def to_stderr(level: str, form: str) -> None:
+def configure_logging(level: str, form: str) -> None:
     """Log to standard error from a level up, as `text` or `json`."""
     logger.remove()
     if form == "json":
--- a/cometseam/interface.py
+++ b/cometseam/interface.py
@@ -15,7 +15,7 @@
 
     OK = 0
     MISS = 1
-    MOOT = 2
+    NOT_SENT = 2
     CANCELLED = 3
     RESET = 4
     CONNECT_FAILED = 5
@@ -40,7 +40,7 @@
     ORIGIN_FAILED = 10
 
 
-class Effect(StrEnum):
+class Idempotency(StrEnum):
     """Whether a pull of a workload may run again."""
 
     REPEATABLE = "repeatable"
@@ -48,7 +48,7 @@
     ONCE_ONLY = "once-only"
 
 
-class Group(StrEnum):
+class DedupScope(StrEnum):
     """The caches that drop each other's repeats of a tagged pull."""
 
     ALL = "all"
@@ -56,8 +56,8 @@
     CELL = "cell"
 
 
-class ListKind(IntEnum):
-    """What a `Members` event holds."""
+class ListUpdateKind(IntEnum):
+    """What a `CacheListUpdate` event holds."""
 
     CHANGES = 0
     CACHED = 1
@@ -77,16 +77,16 @@
 class Workload:
     """One kind of pull."""
 
-    quoted: float
-    stretch: float
-    cut_off: float
+    target_latency: float
+    target_latency_factor: float
+    deadline: float
     gain: float
-    effect: Effect
-    group: Group
-    window: float
-    write: bool
-    fresh: float
-    grace: float
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window: float
+    is_write: bool
+    fresh_ttl: float
+    stale_ttl: float
     stale_gain: float
 
 
@@ -102,25 +102,25 @@
     parent_kind: int
     origin_kind: int
     asks_for_list: bool
-    sized: bool
-    link_report: int
-    recalls: bool
-    tells_retry: bool
-    longest_retry: float
+    weights_known: bool
+    link_load_index: int
+    can_recall: bool
+    sends_retry_after: bool
+    max_retry_after: float
     relay_limit: int
-    joins: bool
-    pace: float
-    cold_from: float
-    warm_after: float
-    fall_multiple: float
-    fall_time: float
-    parent_cold_from: float
-    parent_warm_after: float
-    parent_fall_multiple: float
-    purge_takes: float
-
-
-class Kind(IntEnum):
+    joins_fills: bool
+    stream_rate: float
+    slow_start_initial_share: float
+    slow_start_duration: float
+    overload_factor: float
+    overload_window: float
+    parent_slow_start_initial_share: float
+    parent_slow_start_duration: float
+    parent_overload_factor: float
+    purge_propagation: float
+
+
+class RelayKind(IntEnum):
     """What a relay is for: it looks at what a cache holds, has it fill, or passes by what is kept."""
 
     LOOK = 0
@@ -128,7 +128,7 @@
     DIRECT = 2
 
 
-class Span(NamedTuple):
+class ScaledDuration(NamedTuple):
     """A time that goes with the size of a pull: `base` ms, and `part` times the pull's own sending time."""
 
     base: float
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowance:
+class RetryBudgetTerms:
     """How many further relays may go: a share of first ones over a sliding window, and a floor."""
 
     name: str
@@ -151,17 +151,18 @@
     """What the operator sets for the pulls of a route; what is None the module decides as without a plan."""
 
     name: str = ""
-    # By `Kind`: for the first relay of a pull, and for further ones after a failure.
-    time_outs: tuple[tuple[Span | None, Span | None], ...] = ((None, None),) * 3
+    # By `RelayKind`: for the first relay of a pull, and for further ones after a failure.
+    time_outs: tuple[tuple[ScaledDuration | None, ScaledDuration | None], ...] = ((None, None),) * 3
     relays: int | None = None  # that may fail; looks that are answered with a miss are not among them
     wait: float = 0.0  # ms before the first further relay
     growth: float = 1.0
     longest_wait: float = 0.0
     jitter: float = 0.0  # part of a wait that is added at most
-    second: Span | None = None  # when a relay out is given up for another elsewhere, where one may go
+    # When a relay out is given up for another elsewhere, where one may go.
+    second: ScaledDuration | None = None
     worth: frozenset[Outcome] | None = None  # the outcomes after which a further relay goes
     come_back_in: float | None = None  # ms told with a shed pull
-    allowance: Allowance | None = None
+    allowance: RetryBudgetTerms | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,27 +170,28 @@
     """The operator's plans from now on; pulls that are open keep theirs. A pull names its plan by place."""
 
     plans: tuple[Plan, ...]
-    networks: tuple[Allowance | None, ...] = ()  # of the networks of clients that a pull may name
-    front: Allowance | None = None
+    # Of the networks of clients that a pull may name.
+    network_budgets: tuple[RetryBudgetTerms | None, ...] = ()
+    front_budget: RetryBudgetTerms | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Eased:
+class ServiceLevel:
     """The level of reduced service has changed: what is left out from now on; by default nothing."""
 
     level: int = 0
-    shares: tuple[float, ...] = ()  # of pulls that are shed, by workload; empty: none of any
-    routes: dict[int, float] = field(default_factory=dict)  # the same by plan
-    ageing: bool = False  # an ageing copy is taken before a fill is begun
-    first_seen: bool = True  # a first-seen object may be filled
-    further: bool = True  # further relays may go
-    fills: float = 1.0  # share of the limit on fills out
-    later: float | None = None  # ms told with a shed pull, at least
-    reading: float = 0.0  # ms for which an object whose parts are being read is spared
+    shed_shares: tuple[float, ...] = ()  # of pulls that are shed, by workload; empty: none of any
+    plan_shed_shares: dict[int, float] = field(default_factory=dict)  # the same by plan
+    prefer_stale: bool = False  # an ageing copy is taken before a fill is begun
+    fill_first_seen: bool = True  # a first-seen object may be filled
+    allow_further_relays: bool = True  # further relays may go
+    fill_limit_share: float = 1.0  # share of the limit on fills out
+    min_retry_after: float | None = None  # ms told with a shed pull, at least
+    reading_window: float = 0.0  # ms for which an object whose parts are being read is spared
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class CacheEntry:
     """One line of the list of caches; parents and the origin are lines of it too."""
 
     cache: int
@@ -202,11 +204,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
+class CacheListUpdate:
     """The list of caches, or what has changed in it."""
 
-    kind: ListKind
-    entries: tuple[Listed, ...]
+    kind: ListUpdateKind
+    entries: tuple[CacheEntry, ...]
 
 
 @dataclass(slots=True)
@@ -217,24 +219,24 @@
     object: int
     part: int
     workload: int
-    left: float
-    write: bool
+    time_left: float
+    is_write: bool
     size_kb: float
     group: int
-    plan: int = -1  # by place in the last `Plans`; -1: none
-    network: int = -1
-    client: int = 0  # the network that the client is one of, for fairness under a level
+    plan_index: int = -1  # by place in the last `Plans`; -1: none
+    network_index: int = -1
+    client_network: int = 0  # the network that the client is one of, for fairness under a level
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class RelayBegan:
     """A relay's answer has begun to stream; the relay now belongs to the client."""
 
     id: int
 
 
 @dataclass(slots=True)
-class Ended:
+class RelayEnded:
     """A relay has ended."""
 
     id: int
@@ -242,33 +244,33 @@
     cache: int
     outcome: Outcome
     remark: Remark
-    took: float
+    duration: float
     waited: float
     closed: bool
     load: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class HungUp:
+class ClientDisconnected:
     """The client has gone; no answer is owed any more."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShuttingDown:
     """The front ends: what is still owed is answered now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rang:
+class TimerFired:
     """A timer has come due."""
 
-    mark: int
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeEnded:
     """A probe has ended."""
 
     cache: int
@@ -286,62 +288,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lagged:
+class LoopLagged:
     """The front itself comes so much later to what is due, in ms: its core is busy or shared."""
 
-    by: float
+    lag: float
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """The fleet's prober's verdict on a cache: `bad` for `rest` ms from now, evidence begun `age` ms ago.
+class HealthVerdict:
+    """The fleet's prober's verdict on a cache: `bad` for `ttl` ms from now, evidence begun `evidence_age` ms
+    ago.
 
     Or the verdict has been taken back or has ended: `bad` is False.
     """
 
     cache: int
     bad: bool
-    rest: float
-    age: float
+    ttl: float
+    evidence_age: float
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
-    """This front's part (0 to 1) of what a cold cache bears from all fronts, for `lasts` ms from now.
+class CapacityLease:
+    """This front's part (0 to 1) of what a cold cache bears from all fronts, for `ttl` ms from now.
 
-    Or, with `relays`, of how many relays they may have out there (`Capped`). Past that it goes by the lesser
-    of this and an equal part, until it is told anew.
+    Or, with `for_relays`, of how many relays they may have out there (`ConcurrencyCap`). Past that it goes by
+    the lesser of this and an equal part, until it is told anew.
     """
 
     cache: int
-    part: float
-    lasts: float
-    relays: bool = False
+    share: float
+    ttl: float
+    for_relays: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Capped:
+class ConcurrencyCap:
     """How many relays all fronts that send there may have out at one cache, and at one parent; 0: any."""
 
-    caches: float
-    parents: float
+    per_cache: float
+    per_parent: float
 
 
 @dataclass(frozen=True, slots=True)
-class Allotted:
-    """This front's part (0 to 1) of the further relays that a budget allows the fleet, for `lasts` ms.
+class RetryBudgetShare:
+    """This front's part (0 to 1) of the further relays that a budget allows the fleet, for `ttl` ms.
 
     Past that it goes by the lesser of this and an equal part, until it is told anew.
     """
 
-    budget: str
-    part: float
-    lasts: float
+    budget_name: str
+    share: float
+    ttl: float
 
 
-Fleet = Judged | Granted | Capped | Allotted  # what the fleet tells
-Facts = Members | Probed | Purged | Lagged | Plans | Eased | Closing
-Event = Pull | Began | Ended | HungUp | Rang | Facts | Fleet
+FleetEvent = HealthVerdict | CapacityLease | ConcurrencyCap | RetryBudgetShare  # what the fleet tells
+ControlEvent = CacheListUpdate | ProbeEnded | Purged | LoopLagged | Plans | ServiceLevel | ShuttingDown
+Event = Pull | RelayBegan | RelayEnded | ClientDisconnected | TimerFired | ControlEvent | FleetEvent
 
 
 @dataclass(slots=True)
@@ -352,13 +355,13 @@
     cache: int
     source: int
     rank: int
-    join: bool
-    only_held: bool
-    parent_keeps_none: bool
+    join_fill: bool
+    only_cached: bool
+    parent_no_store: bool
     renew: bool
-    time_out: float
-    oldest: float
-    within: float = 0.0  # ms from now past which no byte of it may be written first; 0: any time
+    timeout: float
+    max_age: float
+    write_within: float = 0.0  # ms from now past which no byte of it may be written first; 0: any time
 
 
 @dataclass(slots=True)
@@ -366,7 +369,7 @@
     """Final answer: not done, and trying again is harmless."""
 
     id: int
-    come_back_in: float
+    retry_after: float
 
 
 @dataclass(slots=True)
@@ -386,11 +389,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Ask for a `Rang` with this mark."""
+class StartTimer:
+    """Ask for a `TimerFired` with this mark."""
 
-    mark: int
-    after: float
+    timer_id: int
+    delay: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -406,10 +409,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogMessage:
     """A line for the operators' log."""
 
     text: str
 
 
-Action = Relay | Shed | Error | Recall | Wake | Probe | Watch | Say
+Action = Relay | Shed | Error | Recall | StartTimer | Probe | Watch | LogMessage
--- a/cometseam/levels/conditions.py
+++ b/cometseam/levels/conditions.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class Verdict(Enum):
+class TruthValue(Enum):
     """What a condition comes to now."""
 
     FALSE = 0
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaf:
+class ThresholdCondition:
     """A signal above or below a bound for a time."""
 
     signal: str
@@ -27,7 +27,7 @@
     bound: float
     lasts: float  # ms
 
-    def holds(self, value: float) -> bool:
+    def is_past_bound(self, value: float) -> bool:
         """Tell whether a value is past the bound."""
         return value > self.bound if self.above else value < self.bound
 
@@ -37,16 +37,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
+class CompoundCondition:
     """All or any of some conditions."""
 
     all: bool
-    parts: tuple["Condition | Leaf", ...]
+    parts: tuple["CompoundCondition | ThresholdCondition", ...]
 
-    def leaves(self) -> Iterator[Leaf]:
+    def leaves(self) -> Iterator[ThresholdCondition]:
         """Yield the leaves in order."""
         for part in self.parts:
-            if isinstance(part, Leaf):
+            if isinstance(part, ThresholdCondition):
                 yield part
             else:
                 yield from part.leaves()
@@ -55,60 +55,60 @@
         return f"({(' and ' if self.all else ' or ').join(str(part) for part in self.parts)})"
 
 
-def join(all_of: bool, verdicts: list[Verdict]) -> Verdict:
+def combine_truth_values(all_of: bool, verdicts: list[TruthValue]) -> TruthValue:
     """Join verdicts: unknown only where what is known does not settle it."""
-    settles = Verdict.FALSE if all_of else Verdict.TRUE
+    settles = TruthValue.FALSE if all_of else TruthValue.TRUE
     if settles in verdicts:
         return settles
-    if Verdict.UNKNOWN in verdicts:
-        return Verdict.UNKNOWN
-    return Verdict.TRUE if all_of else Verdict.FALSE
+    if TruthValue.UNKNOWN in verdicts:
+        return TruthValue.UNKNOWN
+    return TruthValue.TRUE if all_of else TruthValue.FALSE
 
 
-class Watched:
+class ConditionTracker:
     """A condition and how long each of its leaves has been past its bound."""
 
-    def __init__(self, condition: Condition, stretch: float = 1.0) -> None:
+    def __init__(self, condition: CompoundCondition, stretch: float = 1.0) -> None:
         """Watch a condition; `stretch` lengthens its times, so that fronts do not act in step."""
         self.condition, self._stretch = condition, stretch
         self._held = [0.0 for _ in condition.leaves()]
 
-    def step(self, passed: float, values: Mapping[str, float | None]) -> Verdict:
+    def step(self, passed: float, values: Mapping[str, float | None]) -> TruthValue:
         """Take in the signals' values after `passed` ms and tell the verdict."""
         leaves = list(self.condition.leaves())
-        verdicts: list[Verdict] = []
+        verdicts: list[TruthValue] = []
         for place, leaf in enumerate(leaves):
             value = values.get(leaf.signal)
             if value is None:
-                verdicts.append(Verdict.UNKNOWN)
-            elif leaf.holds(value):
+                verdicts.append(TruthValue.UNKNOWN)
+            elif leaf.is_past_bound(value):
                 self._held[place] += passed
                 enough = self._held[place] >= leaf.lasts * self._stretch
-                verdicts.append(Verdict.TRUE if enough else Verdict.FALSE)
+                verdicts.append(TruthValue.TRUE if enough else TruthValue.FALSE)
             else:
                 self._held[place] = 0.0
-                verdicts.append(Verdict.FALSE)
+                verdicts.append(TruthValue.FALSE)
         return self._joined(self.condition, iter(verdicts))
 
-    def _joined(self, condition: Condition, verdicts: Iterator[Verdict]) -> Verdict:
+    def _joined(self, condition: CompoundCondition, verdicts: Iterator[TruthValue]) -> TruthValue:
         parts = [
-            next(verdicts) if isinstance(part, Leaf) else self._joined(part, verdicts)
+            next(verdicts) if isinstance(part, ThresholdCondition) else self._joined(part, verdicts)
             for part in condition.parts
         ]
-        return join(condition.all, parts)
+        return combine_truth_values(condition.all, parts)
 
     def reset(self) -> None:
         """Start all leaves anew."""
         self._held = [0.0 for _ in self._held]
 
-    def missing(self, values: Mapping[str, float | None]) -> list[str]:
+    def unmet_reasons(self, values: Mapping[str, float | None]) -> list[str]:
         """Tell for each leaf what is missing for it to hold."""
         out: list[str] = []
         for place, leaf in enumerate(self.condition.leaves()):
             value, lasts = values.get(leaf.signal), leaf.lasts * self._stretch
             if value is None:
                 out.append(f"{leaf.signal} is not known")
-            elif not leaf.holds(value):
+            elif not leaf.is_past_bound(value):
                 out.append(f"{leaf}: it is {value:g}")
             elif self._held[place] < lasts:
                 left = (lasts - self._held[place]) / 1000.0
--- a/cometseam/levels/scheme.py
+++ b/cometseam/levels/policy.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from cometseam.levels.conditions import Condition
+from cometseam.levels.conditions import CompoundCondition
 
-FULL = "full"  # the name of the level that leaves nothing out
-LEAST_STAY = 10_000.0  # ms between two changes, whatever the file says
+FULL_SERVICE = "full"  # the name of the level that leaves nothing out
+MIN_STAY_MS = 10_000.0  # ms between two changes, whatever the file says
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measures:
+class LevelActions:
     """What a level leaves out."""
 
     shed: tuple[ShedShare, ...] = ()
@@ -34,15 +34,15 @@
     """A named level: when it is entered and left, for how long it stays at least, and what it leaves out."""
 
     name: str
-    enter: Condition
-    leave: Condition
-    measures: Measures
-    stay: float = LEAST_STAY
-    ramp: float = LEAST_STAY  # ms over which what it shed beyond the level below comes back
+    enter: CompoundCondition
+    leave: CompoundCondition
+    measures: LevelActions
+    stay: float = MIN_STAY_MS
+    ramp: float = MIN_STAY_MS  # ms over which what it shed beyond the level below comes back
 
 
 @dataclass(frozen=True, slots=True)
-class Scheme:
+class LevelPolicy:
     """All levels, from the first below full service to the least."""
 
     levels: tuple[Level, ...]
@@ -51,21 +51,21 @@
     reading: float = 10_000.0  # ms after a part within which the next parts of its object are spared
     keep: str = ""  # where the present level is kept over restarts
 
-    def place(self, name: str) -> int | None:
+    def level_number(self, name: str) -> int | None:
         """Return the number of a level by its name; 0 is full service."""
-        names = [FULL, *(level.name for level in self.levels)]
+        names = [FULL_SERVICE, *(level.name for level in self.levels)]
         return names.index(name) if name in names else None
 
-    def measures(self, number: int) -> Measures:
+    def actions_of(self, number: int) -> LevelActions:
         """Return what a level leaves out."""
-        return self.levels[number - 1].measures if number else Measures()
+        return self.levels[number - 1].measures if number else LevelActions()
 
-    def name(self, number: int) -> str:
+    def level_name(self, number: int) -> str:
         """Return the name of a level."""
-        return self.levels[number - 1].name if number else FULL
+        return self.levels[number - 1].name if number else FULL_SERVICE
 
 
-def share_of(measures: Measures, workload: int, route: str) -> float:
+def shed_share_of(measures: LevelActions, workload: int, route: str) -> float:
     """Return the share of a kind of pull that is shed: the largest said of its workload or route."""
     return max(
         (
@@ -77,7 +77,7 @@
     )
 
 
-def does_no_less(one: Measures, other: Measures) -> bool:
+def is_at_least_as_strict(one: LevelActions, other: LevelActions) -> bool:
     """Tell whether one leaves out all that the other does."""
     shares = all(
         any(
--- a/cometseam/levels/easing.py
+++ b/cometseam/levels/shedding.py
@@ -10,7 +10,7 @@
 from collections import Counter, OrderedDict, deque
 from random import Random
 
-from cometseam.interface import Eased, Pull
+from cometseam.interface import Pull, ServiceLevel
 
 KEYS, RECUT = 512, 32  # recent keys that the cut is taken from, and pulls between two cuts
 BY_SIZE = 0.6  # part of a key that goes by size; the rest by the hash
@@ -22,14 +22,14 @@
 WORD = (1 << 64) - 1
 
 
-def mixed(number: int) -> float:
+def object_hash(number: int) -> float:
     """Hash an object to a number from 0 to 1, apart from the module's hash of it."""
     word = (number * 0xD6E8FEB86659FD93 + 0x9E3779B97F4A7C15) & WORD
     word = (word ^ word >> 32) * 0xD6E8FEB86659FD93 & WORD
     return (word ^ word >> 29) / (WORD + 1)
 
 
-class Cut:
+class ShedCutoff:
     """Finds the key under which a share of recent pulls of a kind lies."""
 
     def __init__(self) -> None:
@@ -39,12 +39,12 @@
         self._by_size: list[float] = []
         self._uncut = 0
 
-    def key(self, wanted: int, size: float) -> float:
+    def shed_key(self, wanted: int, size: float) -> float:
         """Return a pull's key: the lower, the sooner it is shed. Large pulls have low ones."""
         self._sizes.append(size)
         known = len(self._by_size)
         rank = 1.0 - bisect_left(self._by_size, size) / known if known >= RECUT else 0.5
-        key = BY_SIZE * rank + (1.0 - BY_SIZE) * mixed(wanted)
+        key = BY_SIZE * rank + (1.0 - BY_SIZE) * object_hash(wanted)
         self._keys.append(key)
         self._uncut -= 1
         if self._uncut < 0:
@@ -52,7 +52,7 @@
             self._ordered, self._by_size = sorted(self._keys), sorted(self._sizes)
         return key
 
-    def at(self, share: float) -> float:
+    def key_for_share(self, share: float) -> float:
         """Return the key under which that share of recent ones lies."""
         if share >= 1.0:
             return float("inf")
@@ -61,7 +61,7 @@
         return self._ordered[min(int(share * len(self._ordered)), len(self._ordered) - 1)]
 
 
-class Easing:
+class LoadShedder:
     """What the present level leaves out; without one it is asked and says no.
 
     Of the objects being read the longest ago leaves past `MOST_READ`, of the networks past `NETWORKS`; a
@@ -70,46 +70,46 @@
 
     def __init__(self, chance: Random) -> None:
         self._chance = chance
-        self.now = Eased()
-        self._cuts: dict[int, Cut] = {}  # by workload: as many as there are
+        self.service_level = ServiceLevel()
+        self._cuts: dict[int, ShedCutoff] = {}  # by workload: as many as there are
         self._read: OrderedDict[int, float] = OrderedDict()  # by object: when one was let through
         self._networks: OrderedDict[int, list[float]] = OrderedDict()  # [asked, shed]
         self._all = [0.0, 0.0]
-        self.shed = 0
+        self.shed_count = 0
         # Of what was left out: pulls shed by workload, fills and further relays that were not begun.
-        self.counts: Counter[str] = Counter()
+        self.skipped_counts: Counter[str] = Counter()
 
-    def take(self, told: Eased) -> None:
+    def apply_service_level(self, told: ServiceLevel) -> None:
         """Take over what the level leaves out from now on."""
-        if not any(told.shares) and not told.routes:  # what no longer sheds remembers nothing
+        if not any(told.shed_shares) and not told.plan_shed_shares:  # what no longer sheds remembers nothing
             self._cuts.clear()
             self._networks.clear()
             self._read.clear()
             self._all = [0.0, 0.0]
-        self.now = told
+        self.service_level = told
 
-    def sheds(self, now: float, pull: Pull, sending: float) -> bool:
+    def should_shed(self, now: float, pull: Pull, sending: float) -> bool:
         """Tell whether a pull that has just come is shed, and remember what that takes."""
-        told = self.now
-        if not told.shares and not told.routes:
+        told = self.service_level
+        if not told.shed_shares and not told.plan_shed_shares:
             return False
-        share = told.shares[pull.workload] if pull.workload < len(told.shares) else 0.0
-        share = max(share, told.routes.get(pull.plan, 0.0))
-        cut = self._cuts.setdefault(pull.workload, Cut())
-        key = cut.key(pull.object, sending)
-        shed = share > 0.0 and key < cut.at(share)
-        if self._is_read(now, pull, told.reading, shed):
+        share = told.shed_shares[pull.workload] if pull.workload < len(told.shed_shares) else 0.0
+        share = max(share, told.plan_shed_shares.get(pull.plan_index, 0.0))
+        cut = self._cuts.setdefault(pull.workload, ShedCutoff())
+        key = cut.shed_key(pull.object, sending)
+        shed = share > 0.0 and key < cut.key_for_share(share)
+        if self._is_read(now, pull, told.reading_window, shed):
             shed = False
         if share > 0.0:
-            shed = self._fair(pull.client, shed)
+            shed = self._fair(pull.client_network, shed)
         if not shed:
             self._read[pull.object] = now
             self._read.move_to_end(pull.object)
             if len(self._read) > MOST_READ:
                 self._read.popitem(last=False)
         if shed:
-            self.shed += 1
-            self.counts[f"shed.{pull.workload}"] += 1
+            self.shed_count += 1
+            self.skipped_counts[f"shed.{pull.workload}"] += 1
         return shed
 
     def _is_read(self, now: float, pull: Pull, reading: float, shed: bool) -> bool:
@@ -138,22 +138,22 @@
 
     def may_fill(self, gaps: tuple[float, ...] | None, out: int, limit: float) -> bool:
         """Tell whether a fill may be begun with so many out of so many; no gaps: the object is first seen."""
-        now = self.now
-        if not now.first_seen and gaps == ():
-            self.counts["first_seen_fills"] += 1
+        now = self.service_level
+        if not now.fill_first_seen and gaps == ():
+            self.skipped_counts["first_seen_fills"] += 1
             return False
-        if now.fills < 1.0 and out >= max(now.fills * limit, 1.0):
-            self.counts["fills"] += 1
+        if now.fill_limit_share < 1.0 and out >= max(now.fill_limit_share * limit, 1.0):
+            self.skipped_counts["fills"] += 1
             return False
         return True
 
-    def may_go_on(self) -> bool:
+    def may_retry(self) -> bool:
         """Tell whether a further relay may go after a failure."""
-        self.counts["further_relays"] += not self.now.further
-        return self.now.further
+        self.skipped_counts["further_relays"] += not self.service_level.allow_further_relays
+        return self.service_level.allow_further_relays
 
-    def later(self, usual: float) -> float:
+    def retry_after(self, usual: float) -> float:
         """Return the time after which a shed pull is told to come back: under a level longer, and spread."""
-        if self.now.later is None:
+        if self.service_level.min_retry_after is None:
             return usual
-        return max(self.now.later, usual) * (1.0 + LATER_SPREAD * self._chance.random())
+        return max(self.service_level.min_retry_after, usual) * (1.0 + LATER_SPREAD * self._chance.random())
--- a/cometseam/levels/signals.py
+++ b/cometseam/levels/signals.py
@@ -21,13 +21,13 @@
 PLAIN = ("link", "fills", "lag", "buffers", "open", "budgets")
 BY_WORKLOAD = ("late", "shed", "errored", "pressure")
 # What a signal can reach at most, where there is a most.
-MOST = {"late": 1.0, "shed": 1.0, "errored": 1.0, "buffers": 1.0, "open": 1.0, "budgets": 1.0}
+SIGNAL_MAX = {"late": 1.0, "shed": 1.0, "errored": 1.0, "buffers": 1.0, "open": 1.0, "budgets": 1.0}
 PRESSURE_MOST = 1000  # hundredths of the quoted time that are told apart; more counts as that
 
-Readings = Mapping[str, float | None]
+SignalValues = Mapping[str, float | None]
 
 
-class Window:
+class SlidingWindow:
     """Sums over the last so many ms, in slices; a slice leaves when it is older than the window."""
 
     def __init__(self, length: float) -> None:
@@ -79,7 +79,7 @@
         """Forget all."""
 
 
-class Rotating:
+class RotatingHistogram:
     """Quantiles over one to two windows: two histograms, the older of which is emptied each window."""
 
     def __init__(self, length: float, make: Callable[[], Histogram]) -> None:
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class UtilizationSample:
     """What the front tells of itself at a look."""
 
     fills: float
@@ -128,19 +128,21 @@
 
     def __init__(self, workloads: tuple[str, ...], make: Callable[[], Histogram]) -> None:
         self.workloads = workloads
-        self._link, self._lag = Window(LINK), Window(LAG)
-        self._ends = {kind: [Window(SHARES) for _ in workloads] for kind in ("late", "shed", "errored")}
-        self._pressure = [Rotating(SHARES, make) for _ in workloads]
+        self._link, self._lag = SlidingWindow(LINK), SlidingWindow(LAG)
+        self._ends = {
+            kind: [SlidingWindow(SHARES) for _ in workloads] for kind in ("late", "shed", "errored")
+        }
+        self._pressure = [RotatingHistogram(SHARES, make) for _ in workloads]
 
-    def link(self, now: float, fullness: float) -> None:
+    def record_link(self, now: float, fullness: float) -> None:
         """An answer of a cache of the zone tells how full the link is."""
         self._link.add(now, fullness)
 
-    def lag(self, now: float, by: float) -> None:
+    def record_lag(self, now: float, by: float) -> None:
         """The loop came late by so many ms."""
         self._lag.add(now, by)
 
-    def answered(self, now: float, workload: int, kind: str, took: float, quoted: float) -> None:
+    def record_answer(self, now: float, workload: int, kind: str, took: float, quoted: float) -> None:
         """A pull got its answer: `finished`, `shed` or `errored`, after `took` of `quoted` ms."""
         late = kind == "finished" and took > quoted
         for name, counts in self._ends.items():
@@ -148,7 +150,7 @@
         if kind == "finished" and quoted > 0.0:
             self._pressure[workload].add(now, took / quoted)
 
-    def read(self, now: float, front: Reading) -> dict[str, float | None]:
+    def read(self, now: float, front: UtilizationSample) -> dict[str, float | None]:
         """Return each signal's value; None: unknown."""
         out: dict[str, float | None] = {
             "fills": front.fills, "buffers": front.buffers, "open": front.open, "budgets": front.budgets,
@@ -167,6 +169,6 @@
         return out
 
 
-def known(workloads: tuple[str, ...]) -> list[str]:
+def signal_names(workloads: tuple[str, ...]) -> list[str]:
     """Return the names of all signals."""
     return [*PLAIN, *(f"{kind}:{workload}" for kind in BY_WORKLOAD for workload in workloads)]
--- a/cometseam/levels/keep.py
+++ b/cometseam/levels/snapshot.py
@@ -15,7 +15,7 @@
 MOST = 4096  # bytes
 
 
-class Unkept(ValueError):
+class SnapshotError(ValueError):
     """The kept level can't be used; the text says why."""
 
 
@@ -26,19 +26,19 @@
 
 
 def decode(text: bytes, now: float) -> tuple[str, float]:
-    """Return the level and since when; what can't be used is `Unkept`."""
+    """Return the level and since when; what can't be used is `SnapshotError`."""
     line, _, rest = text.partition(b"\n")
     if rest != b"%08x\n" % zlib.crc32(line):
-        raise Unkept("torn: its checksum does not hold")
+        raise SnapshotError("torn: its checksum does not hold")
     try:
         values = json.loads(line)
         form, level, since, at = values["form"], values["level"], float(values["since"]), float(values["at"])
     except (ValueError, KeyError, TypeError) as error:
-        raise Unkept(f"not readable: {error}") from error
+        raise SnapshotError(f"not readable: {error}") from error
     if form != FORM or not isinstance(level, str):
-        raise Unkept(f"of another form: {form!r}")
+        raise SnapshotError(f"of another form: {form!r}")
     if not -OLD <= now - at <= OLD:
-        raise Unkept(f"old: kept {abs(now - at) / 1000.0:.0f} s {'ago' if now > at else 'ahead'}")
+        raise SnapshotError(f"old: kept {abs(now - at) / 1000.0:.0f} s {'ago' if now > at else 'ahead'}")
     return level, since
 
 
@@ -50,7 +50,7 @@
     except FileNotFoundError:
         return None
     except OSError as error:
-        raise Unkept(f"{path}: {error.strerror}") from error
+        raise SnapshotError(f"{path}: {error.strerror}") from error
     return decode(text, now)
 
 
--- a/cometseam/limits/fair.py
+++ b/cometseam/limits/fair.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 
-def fair(wishes: Mapping[str, float], whole: float) -> dict[str, float]:
+def max_min_fair_shares(wishes: Mapping[str, float], whole: float) -> dict[str, float]:
     """Share `whole` out by max-min fairness: nobody gets more while somebody with less goes short.
 
     Wishes that all fit are met, and what is left over goes out on top of them by the wishes (equally where
--- a/cometseam/mailbox.py
+++ b/cometseam/mailbox.py
@@ -14,8 +14,8 @@
 class Mailbox(Generic[Message]):
     """Messages for one reader."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_messages: int) -> None:
+        self.max_messages = max_messages
         self._urgent: deque[Message] = deque()
         self._plain: deque[Message] = deque()
         self._filled = anyio.Event()
@@ -28,7 +28,7 @@
 
     def offer(self, message: Message) -> bool:
         """Put a message in, if there is room."""
-        if len(self._plain) >= self.most:
+        if len(self._plain) >= self.max_messages:
             return False
         self._plain.append(message)
         self._filled.set()
--- a/cometseam/operator/__main__.py
+++ b/cometseam/operator/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from cometseam.operator.load import child
+from cometseam.operator.load import child_main
 
-sys.exit(child())
+sys.exit(child_main())
