--- a/cometseam/operator/compile.py
+++ b/cometseam/operator/compile.py
@@ -10,32 +10,32 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cometseam.interface import Allowance, Kind, Plan, Plans, Span
+from cometseam.interface import Plan, Plans, RelayKind, RetryBudgetTerms, ScaledDuration
 from cometseam.operator import fleet
-from cometseam.operator.compiled import Compiled
-from cometseam.operator.levels import read_levels
-from cometseam.operator.networks import Networks, told
+from cometseam.operator.compiled import CompiledConfig
+from cometseam.operator.levels import build_level_policy
+from cometseam.operator.networks import Networks, format_intervals
 from cometseam.operator.platform import Platform
 from cometseam.operator.schema import BudgetForm, FileForm, MatchForm, PlanForm, RouteForm
-from cometseam.timing.grow import Grower, covered, neighbours
-from cometseam.timing.prove import WORDS, Terms, prove
-from cometseam.timing.sets import Intervals, common, joined, whole, without
-from cometseam.timing.table import ENDS, KB, Box, Table
+from cometseam.timing.intervals import Intervals, difference, intersection, union, universal_box
+from cometseam.timing.table import AXIS_ENDS, BYTES_PER_KB, Box, RouteTable
+from cometseam.timing.tree_builder import RouteTreeBuilder, covered_routes, overlapping_earlier
+from cometseam.timing.validate import OUTCOMES_BY_NAME, PlanContext, validate_plan
 
 Path = tuple[str | int, ...]
-ANYWHERE = "the default of the program"
+BUILT_IN_DEFAULT = "the default of the program"
 LEAVES = ("time_outs", "relays", "wait", "second", "retry_on", "budget", "later", "until")
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class RouteEntry:
     """One line of the compiled routes."""
 
     name: str  # of the route, or `workload maps` where no route matches
-    route: int  # its place in the file; -1: none
+    route_index: int  # its place in the file; -1: none
     workload: int
     plan: Plan
-    origins: dict[str, str]  # by leaf of the plan, where its value came from
+    value_sources: dict[str, str]  # by leaf of the plan, where its value came from
     box: Box
 
 
@@ -46,7 +46,7 @@
         self.file, self.platform = file, platform
         self.faults: list[tuple[Path, str]] = []
         self._told: set[tuple[Path, str]] = set()
-        self.entries: list[Entry] = []
+        self.entries: list[RouteEntry] = []
         self._workloads = {name: place for place, name in enumerate(platform.names.workloads)}
         for name in file.workloads:
             if name not in self._workloads:
@@ -58,8 +58,8 @@
         self._budgets_apart()
         self._routes()
         self._fallbacks()
-        self.scheme = read_levels(file.levels, platform, self.file.routes, self._complain)
-        self.fleet = fleet.check(file.fleet, platform.settings, self._complain)
+        self.level_policy = build_level_policy(file.levels, platform, self.file.routes, self._complain)
+        self.fleet = fleet.check_fleet(file.fleet, platform.settings, self._complain)
         self._budgets_of_the_fleet()
 
     def _complain(self, path: Path, reason: str) -> None:
@@ -93,11 +93,11 @@
         with_budget = [name for name, form in self.file.networks.items() if form.budget is not None]
         for place, name in enumerate(with_budget):
             for earlier in with_budget[:place]:
-                both = common(self.networks.intervals[name], self.networks.intervals[earlier])
+                both = intersection(self.networks.intervals[name], self.networks.intervals[earlier])
                 if both:
                     self._complain(
                         ("networks", name, "budget"),
-                        f"{name} and {earlier} overlap in {told(both)}, and both have a budget",
+                        f"{name} and {earlier} overlap in {format_intervals(both)}, and both have a budget",
                     )
 
     # Routes
@@ -117,31 +117,31 @@
             boxes.append(box)
             places.append(place)
             self.entries += self._entries(place, route, box)
-        for at, by in covered(boxes).items():
+        for at, by in covered_routes(boxes).items():
             place, names = places[at], [self.file.routes[places[other]].name for other in by]
             self._complain(("routes", place), f"it can never match: {', '.join(names[:6])} cover it")
         self._contradictions(boxes, places)
 
     def _contradictions(self, boxes: list[Box], places: list[int]) -> None:
         """Routes that differ in overlapping networks alone, neither within the other, and contradict."""
-        for at, others in enumerate(neighbours(boxes)):
+        for at, others in enumerate(overlapping_earlier(boxes)):
             mine = self.file.routes[places[at]]
             for other in others if mine.match.networks else ():
                 theirs = self.file.routes[places[other]]
                 if not theirs.match.networks or boxes[at][:5] != boxes[other][:5]:
                     continue
                 one, two = boxes[at][5], boxes[other][5]
-                both = common(one, two)
-                if without(one, two) and without(two, one) and mine.plan != theirs.plan:
+                both = intersection(one, two)
+                if difference(one, two) and difference(two, one) and mine.plan != theirs.plan:
                     self._complain(
                         ("routes", places[at], "match", "networks"),
-                        f"{told(both)} is in the networks of {theirs.name} too, and their plans contradict; "
-                        "exclude it from one of them",
+                        f"{format_intervals(both)} is in the networks of {theirs.name} too, "
+                        "and their plans contradict; exclude it from one of them",
                     )
 
     def _box(self, place: int, match: MatchForm) -> Box | None:
         path: Path = ("routes", place, "match")
-        box = list(whole())
+        box = list(universal_box())
         count = len(self._workloads)
         box[0] = ((0, count),) if count else ()
         if match.workload is not None:
@@ -151,15 +151,15 @@
                     found.append((self._workloads[name], self._workloads[name] + 1))
                 else:
                     self._complain((*path, "workload", at), self._unknown(name))
-            box[0] = joined(found)
+            box[0] = union(found)
         if match.objects is not None:
-            box[1] = joined([_objects(form.prefix, form.from_, form.to) for form in match.objects])
+            box[1] = union([_objects(form.prefix, form.from_, form.to) for form in match.objects])
         for axis, ranges in ((2, match.groups), (3, match.parts)):
             if ranges is not None:
-                box[axis] = joined([_range(form.from_, form.to, ENDS[axis]) for form in ranges])
+                box[axis] = union([_range(form.from_, form.to, AXIS_ENDS[axis]) for form in ranges])
         if match.size is not None:
-            high = ENDS[4] if match.size.to is None else min(int(match.size.to), ENDS[4])
-            box[4] = joined([(int(match.size.from_), high)])
+            high = AXIS_ENDS[4] if match.size.to is None else min(int(match.size.to), AXIS_ENDS[4])
+            box[4] = union([(int(match.size.from_), high)])
         if match.networks is not None:
             addresses: list[tuple[int, int]] = []
             for at, name in enumerate(match.networks):
@@ -168,10 +168,10 @@
                 else:
                     known = ", ".join(self.networks.intervals) or "none"
                     self._complain((*path, "networks", at), f"{name!r} is no set in networks: {known}")
-            box[5] = joined(addresses)
+            box[5] = union(addresses)
         return tuple(box) if all(box) else None
 
-    def _entries(self, place: int, route: RouteForm, box: Box) -> Iterator[Entry]:
+    def _entries(self, place: int, route: RouteForm, box: Box) -> Iterator[RouteEntry]:
         for number in (number for low, high in box[0] for number in range(low, high)):
             mine = self._clipped((((number, number + 1),), *box[1:]), number)
             if mine is None:
@@ -182,21 +182,21 @@
                 continue
             plan, origins = self._resolve(number, route)
             self._prove(plan, origins, number, mine, place)
-            yield Entry(route.name, place, number, plan, origins, mine)
+            yield RouteEntry(route.name, place, number, plan, origins, mine)
 
     def _clipped(self, box: Box, workload: int) -> Box | None:
         """Take out pulls larger than the file says there are: no plan is proved for them, none is given."""
         most = self.file.largest.get(self.platform.names.workloads[workload])
-        sizes = box[4] if most is None else common(box[4], ((0, int(most) + 1),))
+        sizes = box[4] if most is None else intersection(box[4], ((0, int(most) + 1),))
         return (*box[:4], sizes, box[5]) if sizes else None
 
     def _fallbacks(self) -> None:
         for name, number in self._workloads.items():
             plan, origins = self._resolve(number, None)
-            box = self._clipped((((number, number + 1),), *whole()[1:]), number)
+            box = self._clipped((((number, number + 1),), *universal_box()[1:]), number)
             assert box is not None  # a largest size of nothing holds that one
             self._prove(plan, origins, number, box, -1)
-            self.entries.append(Entry(f"workload {name}", -1, number, plan, origins, box))
+            self.entries.append(RouteEntry(f"workload {name}", -1, number, plan, origins, box))
 
     # Plans
 
@@ -213,7 +213,7 @@
         for origin, form in layers:
             _merge(merged, form.model_dump(exclude_unset=True), "", origin, origins)
         for leaf in LEAVES:
-            origins.setdefault(leaf, ANYWHERE)
+            origins.setdefault(leaf, BUILT_IN_DEFAULT)
         shared = origins["budget"]
         if route is not None and shared.startswith("routes["):
             shared = f"route {route.name}"
@@ -222,36 +222,36 @@
     def _prove(self, plan: Plan, origins: dict[str, str], workload: int, box: Box, place: int) -> None:
         """Have a plan proved; a fault is told where the value that is at fault stands."""
         settings, links = self.platform.settings, self.platform.links
-        rules, pace = settings.workloads[workload], settings.pace
-        low, high = box[4][0][0] / KB, box[4][-1][1] / KB
+        rules, pace = settings.workloads[workload], settings.stream_rate
+        low, high = box[4][0][0] / BYTES_PER_KB, box[4][-1][1] / BYTES_PER_KB
         name = self.platform.names.workloads[workload]
-        terms = Terms(
+        terms = PlanContext(
             name,
             rules,
-            min(low / pace, rules.cut_off) if pace else 0.0,
+            min(low / pace, rules.deadline) if pace else 0.0,
             # A pull that takes longer to send than its cut-off can't be served by any plan.
-            min((high - 1 / KB) / pace, rules.cut_off) if pace else 0.0,
-            links.connect_within,
+            min((high - 1 / BYTES_PER_KB) / pace, rules.deadline) if pace else 0.0,
+            links.connect_timeout,
             origins.get("~until") == "cut-off",
             origins.get("~where") == "any",
         )
-        for key, reason in prove(plan, terms, settings):
+        for key, reason in validate_plan(plan, terms, settings):
             found = _origin(origins, key)
-            path: Path = (*_split(found), *key.split(".")) if found != ANYWHERE else _split("default")
+            path: Path = (*_split(found), *key.split(".")) if found != BUILT_IN_DEFAULT else _split("default")
             if found.startswith("routes["):
                 path = ("routes", place, "plan", *key.split("."))
-            elif place >= 0 and found != ANYWHERE:
+            elif place >= 0 and found != BUILT_IN_DEFAULT:
                 reason += f" (in route {self.file.routes[place].name})"
             self._complain(path, reason)
 
     # The result
 
-    def compiled(self, digest: str) -> tuple[Compiled, list[Intervals]]:
+    def build(self, digest: str) -> tuple[CompiledConfig, list[Intervals]]:
         """Return what serving holds, and the intervals of networks with a budget. There must be no fault."""
         plans: dict[Plan, int] = {}
         routes = tuple((plans.setdefault(entry.plan, len(plans)), entry.box) for entry in self.entries)
-        grower = Grower([entry.box for entry in self.entries])
-        grower.grow()
+        grower = RouteTreeBuilder([entry.box for entry in self.entries])
+        grower.build()
         with_budget = [(name, form) for name, form in self.file.networks.items() if form.budget is not None]
         intervals = [self.networks.intervals[name] for name, _ in with_budget]
         told_plans = Plans(
@@ -260,9 +260,9 @@
             _allowance("front", self.file.front.budget),
         )
         trees = (tuple(grower.roots), tuple(grower.nodes), tuple(grower.leaves))
-        table = Table(routes, *trees, tuple(intervals))
+        table = RouteTable(routes, *trees, tuple(intervals))
         names = tuple(entry.name for entry in self.entries)
-        return Compiled(digest, told_plans, names, table, self.scheme, self.fleet), intervals
+        return CompiledConfig(digest, told_plans, names, table, self.level_policy, self.fleet), intervals
 
 
 def _objects(prefix: str | None, low: str | None, high: str | None) -> tuple[int, int]:
@@ -304,29 +304,29 @@
         if key in origins:
             return origins[key]
         key = key.rpartition(".")[0]
-    return ANYWHERE
+    return BUILT_IN_DEFAULT
 
 
 def _split(origin: str) -> Path:
     return tuple(origin.split("."))
 
 
-def _span(value: Any) -> Span | None:
-    return None if value is None else Span(value.get("base", 0.0), value.get("part", 0.0))
+def _span(value: Any) -> ScaledDuration | None:
+    return None if value is None else ScaledDuration(value.get("base", 0.0), value.get("part", 0.0))
 
 
-def _allowance(name: str, value: BudgetForm | dict[str, Any] | None) -> Allowance | None:
+def _allowance(name: str, value: BudgetForm | dict[str, Any] | None) -> RetryBudgetTerms | None:
     if value is None:
         return None
     form = value if isinstance(value, BudgetForm) else BudgetForm.model_construct(**value)
-    return Allowance(name, form.share, form.window, form.floor, float(form.fleet or 0))
+    return RetryBudgetTerms(name, form.share, form.window, form.floor, float(form.fleet or 0))
 
 
 def _plan(merged: dict[str, Any], name: str, shared: str) -> Plan:
     time_outs = merged.get("time_outs") or {}
     wait, second, worth = merged.get("wait"), merged.get("second"), merged.get("retry_on")
     times = []
-    for kind in Kind:
+    for kind in RelayKind:
         given = time_outs.get(kind.name.lower()) or {}
         times.append((_span(given.get("first")), _span(given.get("further"))))
     base = wait["base"] if wait else 0.0
@@ -340,7 +340,7 @@
         longest_wait=most,
         jitter=wait.get("jitter", 0.0) if wait else 0.0,
         second=_span(second["after"]) if second else None,
-        worth=None if worth is None else frozenset(WORDS[word] for word in worth),
+        worth=None if worth is None else frozenset(OUTCOMES_BY_NAME[word] for word in worth),
         come_back_in=merged.get("later"),
         # A budget is shared by all pulls of the part of the file that sets it.
         allowance=_allowance(shared, merged.get("budget")),
--- a/cometseam/operator/compiled.py
+++ b/cometseam/operator/compiled.py
@@ -8,9 +8,16 @@
 from dataclasses import asdict, dataclass, fields
 from typing import Any
 
-from cometseam.interface import Allowance, Outcome, Plan, Plans, Span
-from cometseam.levels import Condition, Leaf, Level, Measures, Scheme, ShedShare
-from cometseam.timing import Table
+from cometseam.interface import Outcome, Plan, Plans, RetryBudgetTerms, ScaledDuration
+from cometseam.levels import (
+    CompoundCondition,
+    Level,
+    LevelActions,
+    LevelPolicy,
+    ShedShare,
+    ThresholdCondition,
+)
+from cometseam.timing import RouteTable
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,14 +26,14 @@
 
     path: str  # of the key, as in `routes[3].plan.relays`
     reason: str
-    place: str = ""  # file:line, where it can be known
+    location: str = ""  # file:line, where it can be known
 
     def __str__(self) -> str:
-        where = f"{self.place}: " if self.place else ""
+        where = f"{self.location}: " if self.location else ""
         return f"{where}{self.path}: {self.reason}" if self.path else f"{where}{self.reason}"
 
 
-class Refused(ValueError):
+class OperatorFileError(ValueError):
     """The operator's file can't be used; `faults` holds each reason, one at least."""
 
     def __init__(self, faults: list[Fault]) -> None:
@@ -35,23 +42,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compiled:
+class CompiledConfig:
     """What serving needs; `digest` tells one text of the file and its imports from another."""
 
     digest: str
     plans: Plans
-    names: tuple[str, ...]  # of the routes, in order
-    table: Table
-    scheme: Scheme | None = None  # the levels of reduced service
-    fleet: dict[str, Any] | None = None  # the part in the fleet, as `fleet.read` takes it
+    route_names: tuple[str, ...]  # of the routes, in order
+    table: RouteTable
+    level_policy: LevelPolicy | None = None  # the levels of reduced service
+    fleet: dict[str, Any] | None = None  # the part in the fleet, as `fleet.parse_fleet_config` takes it
 
 
-def _allowance(value: Any) -> Allowance | None:
-    return None if value is None else Allowance(**value)
+def _allowance(value: Any) -> RetryBudgetTerms | None:
+    return None if value is None else RetryBudgetTerms(**value)
 
 
-def _span(value: Any) -> Span | None:
-    return None if value is None else Span(*value)
+def _span(value: Any) -> ScaledDuration | None:
+    return None if value is None else ScaledDuration(*value)
 
 
 def plan_to_json(plan: Plan) -> dict[str, Any]:
@@ -72,18 +79,20 @@
     return Plan(**values)
 
 
-def _condition_to_json(part: Condition | Leaf) -> Any:
-    if isinstance(part, Leaf):
+def _condition_to_json(part: CompoundCondition | ThresholdCondition) -> Any:
+    if isinstance(part, ThresholdCondition):
         return [part.signal, part.above, part.bound, part.lasts]
     return {"all": part.all, "parts": [_condition_to_json(each) for each in part.parts]}
 
 
-def _condition(value: Any) -> Condition:
-    parts = tuple(Leaf(*part) if isinstance(part, list) else _condition(part) for part in value["parts"])
-    return Condition(value["all"], parts)
+def _condition(value: Any) -> CompoundCondition:
+    parts = tuple(
+        ThresholdCondition(*part) if isinstance(part, list) else _condition(part) for part in value["parts"]
+    )
+    return CompoundCondition(value["all"], parts)
 
 
-def scheme_to_json(scheme: Scheme) -> dict[str, Any]:
+def level_policy_to_json(scheme: LevelPolicy) -> dict[str, Any]:
     """Return levels as plain values."""
     levels = [
         {
@@ -100,32 +109,32 @@
     return {"levels": levels, **more}
 
 
-def scheme_from_json(values: dict[str, Any]) -> Scheme:
+def level_policy_from_json(values: dict[str, Any]) -> LevelPolicy:
     """Return the levels that such values stand for."""
     levels = []
     for level in values["levels"]:
         told = dict(level["measures"])
-        measures = Measures(**{**told, "shed": tuple(ShedShare(**shed) for shed in told["shed"])})
+        measures = LevelActions(**{**told, "shed": tuple(ShedShare(**shed) for shed in told["shed"])})
         conditions = {name: _condition(level[name]) for name in ("enter", "leave")}
         levels.append(Level(**{**level, **conditions, "measures": measures}))
-    return Scheme(**{**values, "levels": tuple(levels)})
+    return LevelPolicy(**{**values, "levels": tuple(levels)})
 
 
-def write(compiled: Compiled, networks: list[Any]) -> bytes:
+def encode_compiled(compiled: CompiledConfig, networks: list[Any]) -> bytes:
     """Return what a front decodes; `networks` holds the intervals of each network with a budget."""
     plans, table = compiled.plans, compiled.table
     text = {
         "digest": compiled.digest,
         "plans": [plan_to_json(plan) for plan in plans.plans],
-        "allowances": [None if terms is None else asdict(terms) for terms in plans.networks],
-        "front": None if plans.front is None else asdict(plans.front),
-        "names": compiled.names,
+        "allowances": [None if terms is None else asdict(terms) for terms in plans.network_budgets],
+        "front": None if plans.front_budget is None else asdict(plans.front_budget),
+        "names": compiled.route_names,
         "routes": table.routes,
         "roots": table.roots,
         "nodes": table.nodes,
         "leaves": table.leaves,
         "networks": networks,
-        "levels": None if compiled.scheme is None else scheme_to_json(compiled.scheme),
+        "levels": None if compiled.level_policy is None else level_policy_to_json(compiled.level_policy),
         "fleet": compiled.fleet,
     }
     return json.dumps(text).encode()
@@ -135,20 +144,20 @@
     return tuple((low, high) for low, high in values)
 
 
-def read(text: bytes) -> Compiled:
-    """Decode what `write` wrote."""
+def decode_compiled(text: bytes) -> CompiledConfig:
+    """Decode what `encode_compiled` wrote."""
     values = json.loads(text)
     plans = Plans(
         tuple(plan_from_json(plan) for plan in values["plans"]),
         tuple(_allowance(terms) for terms in values["allowances"]),
         _allowance(values["front"]),
     )
-    table = Table(
+    table = RouteTable(
         tuple((plan, tuple(_intervals(axis) for axis in box)) for plan, box in values["routes"]),
         tuple((first, place) for first, place in values["roots"]),
         tuple((axis, tuple(cuts), tuple(below)) for axis, cuts, below in values["nodes"]),
         tuple(tuple(leaf) for leaf in values["leaves"]),
         tuple(_intervals(network) for network in values["networks"]),
     )
-    scheme = None if values["levels"] is None else scheme_from_json(values["levels"])
-    return Compiled(values["digest"], plans, tuple(values["names"]), table, scheme, values.get("fleet"))
+    scheme = None if values["levels"] is None else level_policy_from_json(values["levels"])
+    return CompiledConfig(values["digest"], plans, tuple(values["names"]), table, scheme, values.get("fleet"))
--- a/cometseam/operator/sealed.py
+++ b/cometseam/operator/compiled_file.py
@@ -1,18 +1,19 @@
 """The sealed form of an operator's file: what a front reads where it may start no child process.
 
 A Jsonnet file may loop or swell, so a front evaluates one only in a child that its bounds can end
-(`load.load_apart`). Some platforms start no child: there `cometseam check FILE --seal OUT` evaluates and
+(`load.load_in_child`). Some platforms start no child: there `cometseam check FILE --seal OUT` evaluates and
 checks the file on the operator's side, within the same bounds, and writes what a front needs as JSON. A
 front reads that form in its own process; reading it is bounded by its size and does no evaluation.
 
 The form, one JSON object:
 
-    {"sealed": 1, "against": <16 hex digits>, "check": <16 hex digits>, "compiled": <as `compiled.write`>}
+    {"sealed": 1, "against": <16 hex digits>, "check": <16 hex digits>,
+     "compiled": <as `compiled.encode_compiled`>}
 
 `against` is a digest of the settings that the file was checked against; a front whose settings differ
 refuses the form, since the proof of the plans (cut-offs, quoted times) held for those settings alone.
 `check` is a digest of the text of `compiled` as written, so that a torn or edited form is refused rather
-than half read. Every fault is a `Refused` with one plain reason; nothing else is raised.
+than half read. Every fault is a `OperatorFileError` with one plain reason; nothing else is raised.
 """
 
 import hashlib
@@ -21,11 +22,11 @@
 from pathlib import Path
 from typing import Any
 
-from cometseam.operator.compiled import Compiled, Fault, Refused, read
+from cometseam.operator.compiled import CompiledConfig, Fault, OperatorFileError, decode_compiled
 
 VERSION = 1
-MOST = 16 << 20  # bytes of a sealed form; what `evaluate.MOST_TEXT` lets a file come to, compiled, fits
-SUFFIX = ".json"  # an operator's file named so is taken as sealed; any other is Jsonnet
+MOST = 16 << 20  # bytes of a sealed form; what `evaluate.MAX_JSON_BYTES` lets a file come to, compiled, fits
+COMPILED_FILE_SUFFIX = ".json"  # an operator's file named so is taken as sealed; any other is Jsonnet
 KEYS = frozenset({"sealed", "against", "check", "compiled"})
 
 
@@ -39,8 +40,8 @@
     return hashlib.blake2b(text, digest_size=8).hexdigest()
 
 
-def seal(compiled_text: bytes, settings: dict[str, Any]) -> bytes:
-    """Return the sealed form of what `compiled.write` wrote, checked against `settings`."""
+def encode_compiled_file(compiled_text: bytes, settings: dict[str, Any]) -> bytes:
+    """Return the sealed form of what `compiled.encode_compiled` wrote, checked against `settings`."""
     inner = json.loads(compiled_text)
     canonical = json.dumps(inner, sort_keys=True, separators=(",", ":")).encode()
     whole = {
@@ -52,35 +53,35 @@
     return json.dumps(whole, sort_keys=True, separators=(",", ":")).encode() + b"\n"
 
 
-def is_sealed(path: Path) -> bool:
+def is_compiled_file(path: Path) -> bool:
     """Tell whether a front takes this file as sealed (by its name: the file may be unreadable yet)."""
-    return path.name.endswith(SUFFIX)
+    return path.name.endswith(COMPILED_FILE_SUFFIX)
 
 
-def read_bounded(path: Path, most: int = MOST) -> bytes:
-    """Read a whole file of at most `most` bytes; what can't be read is `Refused`."""
+def read_bounded(path: Path, max_bytes: int = MOST) -> bytes:
+    """Read a whole file of at most `max_bytes` bytes; what can't be read is `OperatorFileError`."""
     try:
         with open(path, "rb") as file:
-            text = file.read(most + 1)
+            text = file.read(max_bytes + 1)
             size = os.fstat(file.fileno()).st_size
     except OSError as error:
-        raise Refused([Fault("", f"{path.name}: {error.strerror}")]) from error
-    if len(text) > most:
-        raise Refused([Fault("", f"{path.name}: larger than {most >> 20} MB")])
+        raise OperatorFileError([Fault("", f"{path.name}: {error.strerror}")]) from error
+    if len(text) > max_bytes:
+        raise OperatorFileError([Fault("", f"{path.name}: larger than {max_bytes >> 20} MB")])
     if len(text) != size:
-        raise Refused([Fault("", f"{path.name}: changed while it was read")])
+        raise OperatorFileError([Fault("", f"{path.name}: changed while it was read")])
     return text
 
 
-def unseal(text: bytes, settings: dict[str, Any], name: str = "sealed form") -> Compiled:
+def decode_compiled_file(text: bytes, settings: dict[str, Any], name: str = "sealed form") -> CompiledConfig:
     """Return what a sealed form holds, where it is whole and was checked against these settings.
 
-    Raises `Refused` for text that is not JSON, a form of another version, keys missing or unknown, a
-    check that does not match (torn or edited), settings that differ, or a compiled part that can't be read.
+    Raises `OperatorFileError` for text that is not JSON, a form of another version, keys missing or unknown,
+    a check that does not match (torn or edited), settings that differ, or a compiled part that can't be read.
     """
 
-    def refused(why: str) -> Refused:
-        return Refused([Fault("", f"{name}: {why}")])
+    def refused(why: str) -> OperatorFileError:
+        return OperatorFileError([Fault("", f"{name}: {why}")])
 
     try:
         whole = json.loads(text, parse_constant=_no_constant)
@@ -99,14 +100,14 @@
     if whole["against"] != settings_digest(settings):
         raise refused("sealed against other settings than those that run; seal it again against them")
     try:
-        return read(canonical)
+        return decode_compiled(canonical)
     except (KeyError, TypeError, ValueError, IndexError) as error:
         raise refused(f"its compiled part can't be read ({type(error).__name__})") from error
 
 
-def load_sealed(path: Path, settings: dict[str, Any]) -> Compiled:
+def load_compiled_file(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Read and open a sealed form in this process; bounded by `MOST` bytes, no evaluation."""
-    return unseal(read_bounded(path), settings, path.name)
+    return decode_compiled_file(read_bounded(path), settings, path.name)
 
 
 def _no_constant(word: str) -> Any:
--- a/cometseam/operator/evaluate.py
+++ b/cometseam/operator/evaluate.py
@@ -1,8 +1,8 @@
 """Evaluates a Jsonnet file within bounds of time, memory, depth and size, and remembers what was read.
 
 Imports stay within the folder of the file; what is read is read once and must be the same at the end. The
-bounds hold for a process of its own (`bound`): a file that loops or makes a gigabyte ends that process and
-nothing else.
+bounds hold for a process of its own (`set_resource_limits`): a file that loops or makes a gigabyte ends that
+process and nothing else.
 """
 
 import hashlib
@@ -16,22 +16,22 @@
 
 import _jsonnet
 
-from cometseam.operator.compiled import Fault, Refused
+from cometseam.operator.compiled import Fault, OperatorFileError
 
-MOST_BYTES = 1 << 20  # of one file
-MOST_FILES = 64
-MOST_TEXT = 16 << 20  # bytes of the JSON that the file comes to
-DEPTH = 200  # calls within calls
-TIME = 1.2  # s
-MEMORY = 96 << 20  # bytes beyond what the process held
+MAX_FILE_BYTES = 1 << 20  # of one file
+MAX_FILES = 64
+MAX_JSON_BYTES = 16 << 20  # bytes of the JSON that the file comes to
+MAX_STACK_DEPTH = 200  # calls within calls
+TIME_LIMIT_S = 1.2  # s
+MEMORY_LIMIT_BYTES = 96 << 20  # bytes beyond what the process held
 
 
 @dataclass(frozen=True, slots=True)
-class Evaluated:
+class EvaluatedFile:
     """The value of a file, and the texts that it came from, by path from its folder."""
 
     value: Any
-    main: str
+    main_name: str
     sources: dict[str, str]
     digest: str
 
@@ -51,16 +51,16 @@
             return self.texts[real]
         if not real.is_relative_to(self.folder):
             raise ValueError(f"import {path.name!r}: outside the folder of the file")
-        if len(self.texts) >= MOST_FILES:
-            raise ValueError(f"more than {MOST_FILES} files are imported")
+        if len(self.texts) >= MAX_FILES:
+            raise ValueError(f"more than {MAX_FILES} files are imported")
         if not os.path.isfile(real):
             raise ValueError(f"{path.name}: no such file")
         with open(real, "rb") as file:
             before = os.fstat(file.fileno())
-            text = file.read(MOST_BYTES + 1)
+            text = file.read(MAX_FILE_BYTES + 1)
             after = os.fstat(file.fileno())
-        if len(text) > MOST_BYTES:
-            raise ValueError(f"{path.name}: larger than {MOST_BYTES >> 20} MB")
+        if len(text) > MAX_FILE_BYTES:
+            raise ValueError(f"{path.name}: larger than {MAX_FILE_BYTES >> 20} MB")
         if _identity(before) != _identity(after) or len(text) != after.st_size:
             raise ValueError(f"{path.name}: changed while it was read")
         self.texts[real], self._seen[real] = text, _identity(after)
@@ -81,8 +81,9 @@
     return status.st_ino, status.st_size, status.st_mtime_ns
 
 
-def evaluate(path: Path) -> Evaluated:
-    """Evaluate a file; what is wrong is `Refused`. Within `bound` where the file is not to be trusted."""
+def evaluate(path: Path) -> EvaluatedFile:
+    """Evaluate a file; what is wrong is `OperatorFileError`. Within `set_resource_limits` where the file is
+    not to be trusted."""
     reader = Reader(path)
 
     def load(folder: str, name: str) -> tuple[str, bytes]:
@@ -95,24 +96,24 @@
         main = Path(os.path.realpath(path))
         source = reader.read(main).decode()
         text = _jsonnet.evaluate_snippet(
-            str(main), source, import_callback=load, max_stack=DEPTH, max_trace=4
+            str(main), source, import_callback=load, max_stack=MAX_STACK_DEPTH, max_trace=4
         )
-        if len(text) > MOST_TEXT:
-            raise ValueError(f"it comes to more than {MOST_TEXT >> 20} MB")
+        if len(text) > MAX_JSON_BYTES:
+            raise ValueError(f"it comes to more than {MAX_JSON_BYTES >> 20} MB")
         value = json.loads(text, parse_constant=_no_constant)
         reader.verify()
     except OSError as error:
-        raise Refused([Fault("", f"{path}: {error.strerror}")]) from error
+        raise OperatorFileError([Fault("", f"{path}: {error.strerror}")]) from error
     except UnicodeDecodeError as error:
-        raise Refused([Fault("", f"{path}: not UTF-8")]) from error
+        raise OperatorFileError([Fault("", f"{path}: not UTF-8")]) from error
     except RecursionError as error:
-        raise Refused([Fault("", f"{path}: nested too deeply")]) from error
+        raise OperatorFileError([Fault("", f"{path}: nested too deeply")]) from error
     except MemoryError as error:
-        raise Refused([Fault("", f"{path}: it took too much memory")]) from error
+        raise OperatorFileError([Fault("", f"{path}: it took too much memory")]) from error
     except ValueError as error:
-        raise Refused([Fault("", str(error))]) from error
+        raise OperatorFileError([Fault("", str(error))]) from error
     except RuntimeError as error:
-        raise Refused([_fault(str(error), reader)]) from error
+        raise OperatorFileError([_fault(str(error), reader)]) from error
     digest = hashlib.blake2b(digest_size=8)
     for name, content in sorted(reader.texts.items()):
         digest.update(str(name.relative_to(reader.folder)).encode() + b"\0" + content + b"\0")
@@ -120,7 +121,7 @@
         str(name.relative_to(reader.folder)): content.decode(errors="replace")
         for name, content in reader.texts.items()
     }
-    return Evaluated(value, main.name, sources, digest.hexdigest())
+    return EvaluatedFile(value, main.name, sources, digest.hexdigest())
 
 
 def _no_constant(word: str) -> Any:
@@ -152,7 +153,7 @@
     return Fault("", why, f"{name}:{line_number}" if line_number.isdigit() else name)
 
 
-def bound(memory: int = MEMORY, time: float = TIME) -> None:
+def set_resource_limits(memory: int = MEMORY_LIMIT_BYTES, time: float = TIME_LIMIT_S) -> None:
     """Bound this process: past `time` s an alarm ends it, past `memory` bytes more it gets none."""
     with open("/proc/self/statm") as file:
         data = int(file.read().split()[5]) * resource.getpagesize()
@@ -162,8 +163,8 @@
     signal.setitimer(signal.ITIMER_REAL, time)
 
 
-def release() -> None:
-    """End the bounds that `bound` set."""
+def clear_resource_limits() -> None:
+    """End the bounds that `set_resource_limits` set."""
     signal.setitimer(signal.ITIMER_REAL, 0.0)
     _, most = resource.getrlimit(resource.RLIMIT_DATA)
     resource.setrlimit(resource.RLIMIT_DATA, (most, most))
--- a/cometseam/operator/fleet.py
+++ b/cometseam/operator/fleet.py
@@ -1,7 +1,7 @@
 """The file's `fleet`: which coordination service, which tasks, on what terms; checked, and as plain values.
 
-A front holds them as plain values (`Compiled.fleet`) and reads them (`read`) only where it takes part, so
-that a front that does not imports nothing of this.
+A front holds them as plain values (`CompiledConfig.fleet`) and reads them (`parse_fleet_config`) only where
+it takes part, so that a front that does not imports nothing of this.
 """
 
 import re
@@ -10,37 +10,39 @@
 from typing import Any
 
 from cometseam.interface import Settings
-from cometseam.limits import Refused as NotShared
-from cometseam.limits import Sharing
+from cometseam.limits import SharingTerms
+from cometseam.limits import SharingTermsError as NotShared
 from cometseam.operator.schema import FleetForm
-from cometseam.ownership import Refused, Terms
-from cometseam.verdicts import Probing
+from cometseam.ownership import OwnershipTerms, OwnershipTermsError
+from cometseam.verdicts import ProbeTerms
 
 Path = tuple[str | int, ...]
-PROBE, LIST, LIMITS = "probe", "list", "limits"
+PROBE_TASK, LIST_TASK, LIMITS_TASK = "probe", "list", "limits"
 TASK = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}")
 SECOND = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class FleetTerms:
+class FleetConfig:
     """What a front's part in the fleet goes by; times in ms."""
 
     service: str  # host:port
     refresh_ms: float  # between two reads of the whole beside a watch
-    tasks: dict[str, Terms]
-    probing: Probing
-    log_bound_ms: float | None = None  # None: each front reads the change log itself
-    limits: tuple[float, float] | None = None  # refresh and lasts of grants; None: nothing is shared out
+    tasks: dict[str, OwnershipTerms]
+    probing: ProbeTerms
+    max_log_age_ms: float | None = None  # None: each front reads the change log itself
+    # Refresh and lasts of grants; None: nothing is shared out.
+    grant_timing: tuple[float, float] | None = None
     drift: float = 0.01
     spread_ms: float | None = None  # the longest wait before a campaign; None: half of the shortest renewal
-    relays: tuple[float, float] | None = None  # the fleet's out at one cache, at one parent; 0: any
+    in_flight_limits: tuple[float, float] | None = None  # the fleet's out at one cache, at one parent; 0: any
 
 
-def check(
+def check_fleet(
     form: FleetForm | None, settings: Settings, complain: Callable[[Path, str], None]
 ) -> dict[str, Any] | None:
-    """Return plain values for `read`, or None where the file names no fleet; what is wrong is told."""
+    """Return plain values for `parse_fleet_config`, or None where the file names no fleet; what is wrong is
+    told."""
     if form is None:
         return None
     host, _, port = form.service.rpartition(":")
@@ -48,7 +50,7 @@
         complain(("fleet", "service"), f"{form.service!r} is not host:port")
     if not form.tasks:
         complain(("fleet", "tasks"), "it is empty: a fleet without tasks does nothing")
-    tasks: dict[str, Terms] = {}
+    tasks: dict[str, OwnershipTerms] = {}
     for name, task in form.tasks.items():
         path: Path = ("fleet", "tasks", name)
         if TASK.fullmatch(name) is None:
@@ -56,18 +58,20 @@
         if task.ttl < SECOND or task.ttl % SECOND:
             complain((*path, "ttl"), f"{task.ttl:g} ms: the service grants whole seconds, 1s at least")
             continue
-        terms = Terms(task.ttl, task.margin, form.drift, task.renew, form.round_trip)
+        terms = OwnershipTerms(task.ttl, task.margin, form.drift, task.renew, form.round_trip)
         try:
             terms.check()
-        except Refused as refused:
+        except OwnershipTermsError as refused:
             term, _, reason = str(refused).partition(": ")
             key = term.removesuffix("_ms")
             complain(("fleet", key) if key in ("drift", "round_trip") else (*path, key), reason)
             continue
         tasks[name] = terms
     probing = _probing(form, tasks, complain)
-    if form.log is not None and LIST not in form.tasks:
-        complain(("fleet", "log"), f"fleet.tasks has no {LIST!r}: nobody would read the log for the others")
+    if form.log is not None and LIST_TASK not in form.tasks:
+        complain(
+            ("fleet", "log"), f"fleet.tasks has no {LIST_TASK!r}: nobody would read the log for the others"
+        )
     _limits(form, settings, complain)
     relays = form.limits.relays if form.limits is not None else None
     return {
@@ -88,12 +92,12 @@
     if told is None:
         return
     path: Path = ("fleet", "limits")
-    if LIMITS not in form.tasks:
-        complain(path, f"fleet.tasks has no {LIMITS!r}: nobody would share anything out")
+    if LIMITS_TASK not in form.tasks:
+        complain(path, f"fleet.tasks has no {LIMITS_TASK!r}: nobody would share anything out")
     if told.refresh < form.round_trip:
         complain((*path, "refresh"), f"{told.refresh:g} ms is below a round trip, {form.round_trip:g} ms")
     try:
-        Sharing(1, told.lasts, told.refresh, 0.0, form.drift).check()
+        SharingTerms(1, told.lasts, told.refresh, 0.0, form.drift).check()
     except NotShared as refused:
         term, _, reason = str(refused).partition(": ")
         complain((*path, term), reason)
@@ -110,26 +114,28 @@
                 )
 
 
-def _probing(form: FleetForm, tasks: dict[str, Terms], complain: Callable[[Path, str], None]) -> Probing:
+def _probing(
+    form: FleetForm, tasks: dict[str, OwnershipTerms], complain: Callable[[Path, str], None]
+) -> ProbeTerms:
     told = form.probing
     path: Path = ("fleet", "probing")
     if told is None:
-        probing = Probing()
-        if PROBE in tasks:  # long enough to outlive a change of prober, whatever its terms
-            holds = max(probing.lasts, 2.0 * (tasks[PROBE].ttl_ms + tasks[PROBE].renew_ms))
-            probing = Probing(lasts=holds)
+        probing = ProbeTerms()
+        if PROBE_TASK in tasks:  # long enough to outlive a change of prober, whatever its terms
+            holds = max(probing.lasts, 2.0 * (tasks[PROBE_TASK].ttl_ms + tasks[PROBE_TASK].renew_ms))
+            probing = ProbeTerms(lasts=holds)
         return probing
-    probing = Probing(
+    probing = ProbeTerms(
         told.interval, told.within, told.fails, told.passes, told.lasts, told.most_bad, told.most_out
     )
-    if PROBE not in form.tasks:
-        complain(path, f"fleet.tasks has no {PROBE!r}: nobody would probe")
+    if PROBE_TASK not in form.tasks:
+        complain(path, f"fleet.tasks has no {PROBE_TASK!r}: nobody would probe")
     if probing.within >= probing.interval:
         complain(
             (*path, "within"), f"{probing.within:g} ms is not below the interval, {probing.interval:g} ms"
         )
-    if PROBE in tasks:
-        least = 1.5 * (tasks[PROBE].ttl_ms + tasks[PROBE].renew_ms)
+    if PROBE_TASK in tasks:
+        least = 1.5 * (tasks[PROBE_TASK].ttl_ms + tasks[PROBE_TASK].renew_ms)
         if probing.lasts < least:
             complain(
                 (*path, "lasts"),
@@ -139,13 +145,13 @@
     return probing
 
 
-def read(values: dict[str, Any]) -> FleetTerms:
-    """Return the terms that `check` wrote as plain values."""
-    return FleetTerms(
+def parse_fleet_config(values: dict[str, Any]) -> FleetConfig:
+    """Return the terms that `check_fleet` wrote as plain values."""
+    return FleetConfig(
         values["service"],
         values["refresh_ms"],
-        {name: Terms(**terms) for name, terms in values["tasks"].items()},
-        Probing(**values["probing"]),
+        {name: OwnershipTerms(**terms) for name, terms in values["tasks"].items()},
+        ProbeTerms(**values["probing"]),
         values["log_bound_ms"],
         tuple(values["limits"]) if values["limits"] else None,
         values["drift"],
--- a/cometseam/operator/load.py
+++ b/cometseam/operator/load.py
@@ -2,8 +2,8 @@
 
 The child evaluates within bounds of time and memory and checks all; whatever the file does to it, the front
 only hears that it was refused. Where the platform starts no child, a front is named the file's sealed form
-(`sealed`), which it reads in its own process without evaluating anything; `for_front` and
-`for_front_async` choose by the name.
+(`compiled_file`), which it reads in its own process without evaluating anything; `load_for_front` and
+`load_for_front_async` choose by the name.
 """
 
 import json
@@ -21,8 +21,8 @@
 import anyio.from_thread
 from anyio.lowlevel import current_token
 
-from cometseam.operator.compiled import Compiled, Fault, Refused, read
-from cometseam.operator.sealed import is_sealed, load_sealed
+from cometseam.operator.compiled import CompiledConfig, Fault, OperatorFileError, decode_compiled
+from cometseam.operator.compiled_file import is_compiled_file, load_compiled_file
 
 EVALUATION = 1.8  # s for the child to come up and evaluate
 CHECKS = 20.0  # s for all, the tree over ten thousand routes included
@@ -30,46 +30,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedFile:
     """A file that can be used, with all that `render` and `explain` tell of it."""
 
-    compiled: Compiled
+    compiled: CompiledConfig
     compiler: Any  # `compile.Compiler`; a front never holds one
-    networks: list[Any]
+    network_intervals: list[Any]
 
 
-def load(path: Path, settings: dict[str, Any]) -> Loaded:
+def load(path: Path, settings: dict[str, Any]) -> LoadedFile:
     """Evaluate and check a file here; `settings` is the object of that name in the configuration."""
+    from cometseam.json_section import Section
     from cometseam.operator.compile import Compiler
     from cometseam.operator.evaluate import evaluate
     from cometseam.operator.locate import locate
     from cometseam.operator.platform import Platform
-    from cometseam.operator.schema import fault, form
-    from cometseam.reading import Section
-    from cometseam.settings import read_links, read_names, read_settings
+    from cometseam.operator.schema import make_fault, validate_file
+    from cometseam.settings import read_name_tables, read_network_settings, read_settings
 
     section = Section(settings, "settings")
-    platform = Platform(read_settings(section), read_names(section), read_links(section))
+    platform = Platform(read_settings(section), read_name_tables(section), read_network_settings(section))
     evaluated = evaluate(path)
 
-    def tell(found: list[tuple[tuple[str | int, ...], str]]) -> Refused:
+    def tell(found: list[tuple[tuple[str | int, ...], str]]) -> OperatorFileError:
         faults = []
         for key, reason in found:
-            line = locate(evaluated.sources[evaluated.main], key)
-            faults.append(fault(key, reason, f"{evaluated.main}:{line}" if line else evaluated.main))
-        return Refused(faults)
+            line = locate(evaluated.sources[evaluated.main_name], key)
+            faults.append(
+                make_fault(key, reason, f"{evaluated.main_name}:{line}" if line else evaluated.main_name)
+            )
+        return OperatorFileError(faults)
 
-    file, found = form(evaluated.value)
+    file, found = validate_file(evaluated.value)
     if file is None:
         raise tell(found)
     compiler = Compiler(file, platform)
     if compiler.faults:
         raise tell(compiler.faults)
-    compiled, networks = compiler.compiled(evaluated.digest)
-    return Loaded(compiled, compiler, networks)
+    compiled, networks = compiler.build(evaluated.digest)
+    return LoadedFile(compiled, compiler, networks)
 
 
-def child() -> int:
+def child_main() -> int:
     """Be the child: a question on standard input, the answer on standard output."""
     from cometseam.operator import compiled as form
     from cometseam.operator import evaluate as bounded
@@ -80,19 +82,19 @@
     assert cometseam.operator.compile is not None
     whole = bounded.evaluate
 
-    def within(path: Path) -> bounded.Evaluated:
-        bounded.bound()
+    def within(path: Path) -> bounded.EvaluatedFile:
+        bounded.set_resource_limits()
         try:
             return whole(path)
         finally:
-            bounded.release()
+            bounded.clear_resource_limits()
 
     bounded.evaluate = within
     try:
         loaded = load(Path(question["path"]), question["settings"])
-        text = b"+" + form.write(loaded.compiled, loaded.networks)
-    except Refused as refused:
-        told = [[fault.path, fault.reason, fault.place] for fault in refused.faults]
+        text = b"+" + form.encode_compiled(loaded.compiled, loaded.network_intervals)
+    except OperatorFileError as refused:
+        told = [[fault.path, fault.reason, fault.location] for fault in refused.faults]
         text = b"-" + json.dumps(told).encode()
     sys.stdout.buffer.write(text)
     return 0
@@ -105,40 +107,40 @@
     return json.dumps({"path": str(path), "settings": settings}).encode()
 
 
-def _answer(path: Path, status: int, text: bytes, said: bytes) -> Compiled:
+def _answer(path: Path, status: int, text: bytes, said: bytes) -> CompiledConfig:
     if status == 0 and text[:1] == b"+":
-        return read(text[1:])
+        return decode_compiled(text[1:])
     if status == 0 and text[:1] == b"-":
-        raise Refused([Fault(*fault) for fault in json.loads(text[1:])])
+        raise OperatorFileError([Fault(*fault) for fault in json.loads(text[1:])])
     if status == -signal.SIGALRM:
         why = "its evaluation takes too long"
     elif status in (-signal.SIGABRT, -signal.SIGSEGV, -signal.SIGKILL) or b"MemoryError" in said:
         why = "its evaluation takes too much memory, or is nested too deeply"
     else:
         why = f"it could not be checked: {said.decode(errors='replace').strip().splitlines()[-1:]}"
-    raise Refused([Fault("", f"{path.name}: {why}")])
+    raise OperatorFileError([Fault("", f"{path.name}: {why}")])
 
 
-def _no_child(path: Path, error: OSError) -> Refused:
+def _no_child(path: Path, error: OSError) -> OperatorFileError:
     """Guards against a platform that refuses to start processes (ENOSYS, EPERM, EAGAIN from fork or exec)."""
     why = f"no child can be started here ({error.strerror}): name its sealed form, `cometseam check --seal`"
-    return Refused([Fault("", f"{path.name}: {why}")])
+    return OperatorFileError([Fault("", f"{path.name}: {why}")])
 
 
-def load_apart(path: Path, settings: dict[str, Any]) -> Compiled:
+def load_in_child(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Load a file in a child, and wait for it: at the start, when nothing is served yet."""
     try:
         done = subprocess.run(
             COMMAND, input=_question(path, settings), capture_output=True, timeout=CHECKS, check=False
         )
     except subprocess.TimeoutExpired as error:
-        raise Refused([Fault("", f"{path.name}: its checks take too long")]) from error
+        raise OperatorFileError([Fault("", f"{path.name}: its checks take too long")]) from error
     except OSError as error:
         raise _no_child(path, error) from error
     return _answer(path, done.returncode, done.stdout, done.stderr)
 
 
-async def load_apart_async(path: Path, settings: dict[str, Any]) -> Compiled:
+async def load_in_child_async(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Load a file in a child beside what is served; cancelled, or past its time, the child is ended."""
     with anyio.move_on_after(CHECKS):
         try:
@@ -146,28 +148,28 @@
         except OSError as error:
             raise _no_child(path, error) from error
         return _answer(path, done.returncode, done.stdout, done.stderr)
-    raise Refused([Fault("", f"{path.name}: its checks take too long")])
+    raise OperatorFileError([Fault("", f"{path.name}: its checks take too long")])
 
 
-def for_front(path: Path, settings: dict[str, Any]) -> Compiled:
+def load_for_front(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Load the file that a front is named at its start: a sealed form here, Jsonnet in a child."""
-    return load_sealed(path, settings) if is_sealed(path) else load_apart(path, settings)
+    return load_compiled_file(path, settings) if is_compiled_file(path) else load_in_child(path, settings)
 
 
-async def for_front_async(path: Path, settings: dict[str, Any]) -> Compiled:
+async def load_for_front_async(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Load it anew beside what is served: a sealed form on a worker thread, so that the loop goes on."""
-    if is_sealed(path):
-        return await _beside(lambda: load_sealed(path, settings))
-    return await load_apart_async(path, settings)
+    if is_compiled_file(path):
+        return await _beside(lambda: load_compiled_file(path, settings))
+    return await load_in_child_async(path, settings)
 
 
-async def _beside(work: Callable[[], Compiled]) -> Compiled:
+async def _beside(work: Callable[[], CompiledConfig]) -> CompiledConfig:
     """Do some work on a thread; cancelled, it is left behind, and the process ends without it.
 
     Guards the end of a front against a file whose reading hangs: a pool's worker threads are joined then.
     """
     token, done = current_token(), anyio.Event()
-    came: list[Compiled | BaseException] = []
+    came: list[CompiledConfig | BaseException] = []
 
     def run() -> None:
         try:
--- a/cometseam/operator/networks.py
+++ b/cometseam/operator/networks.py
@@ -5,8 +5,8 @@
 import netaddr
 
 from cometseam.operator.schema import NetworkForm
-from cometseam.timing.sets import Intervals, joined
-from cometseam.timing.table import IPV4
+from cometseam.timing.intervals import Intervals, union
+from cometseam.timing.table import IPV4_MAPPED_BASE
 
 Complain = Callable[[tuple[str | int, ...], str], None]
 
@@ -64,18 +64,18 @@
     out = []
     for part in found.iter_ipranges():
         low, high = int(part.first), int(part.last)
-        shift = IPV4 if part.version == 4 else 0
+        shift = IPV4_MAPPED_BASE if part.version == 4 else 0
         out.append((low + shift, high + shift + 1))
-    return joined(out)
+    return union(out)
 
 
-def told(intervals: Intervals, most: int = 3) -> str:
+def format_intervals(intervals: Intervals, most: int = 3) -> str:
     """Return intervals as addresses, for people to read."""
     shown = []
     for low, high in intervals[:most]:
-        mapped = low >= IPV4 and high <= IPV4 + (1 << 32)
+        mapped = low >= IPV4_MAPPED_BASE and high <= IPV4_MAPPED_BASE + (1 << 32)
         first, last = (
-            (netaddr.IPAddress(low - IPV4, 4), netaddr.IPAddress(high - 1 - IPV4, 4))
+            (netaddr.IPAddress(low - IPV4_MAPPED_BASE, 4), netaddr.IPAddress(high - 1 - IPV4_MAPPED_BASE, 4))
             if mapped
             else (netaddr.IPAddress(low, 6), netaddr.IPAddress(high - 1, 6))
         )
--- a/cometseam/operator/platform.py
+++ b/cometseam/operator/platform.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from cometseam.interface import Settings
-from cometseam.settings import Links, Names
+from cometseam.settings import NameTables, NetworkSettings
 
 
 @dataclass(frozen=True, slots=True)
@@ -11,5 +11,5 @@
     """What the platform's configuration settles, and the file is checked against."""
 
     settings: Settings
-    names: Names
-    links: Links
+    names: NameTables
+    links: NetworkSettings
--- a/cometseam/operator/schema.py
+++ b/cometseam/operator/schema.py
@@ -12,11 +12,11 @@
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, ValidationError, model_validator
 
 from cometseam.operator.compiled import Fault
-from cometseam.timing.prove import WORDS
+from cometseam.timing.validate import OUTCOMES_BY_NAME
 
 UNITS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0}
 SIZES = {"B": 1.0, "KB": 1024.0, "MB": 1024.0**2, "GB": 1024.0**3}
-LONGEST = 600_000.0  # ms: no pull waits for longer
+MAX_DURATION_MS = 600_000.0  # ms: no pull waits for longer
 QUANTITY = re.compile(r"(-?[0-9]+(?:\.[0-9]+)?) *([A-Za-z]+)")
 HEX = re.compile(r"[0-9a-f]{1,16}")
 
@@ -33,17 +33,19 @@
     return float(number) * units[unit]
 
 
-def duration(value: Any) -> float:
+def parse_duration(value: Any) -> float:
     """Return a duration in ms; it carries its unit."""
     time = _quantity(value, UNITS, "a duration", '"250ms"')
     if time < 0.0:
         raise ValueError(f"a duration can't be negative: {_told(value)}")
-    if time > LONGEST:
-        raise ValueError(f"{_told(value)} is longer than any pull waits ({LONGEST / 1000.0:g}s at most)")
+    if time > MAX_DURATION_MS:
+        raise ValueError(
+            f"{_told(value)} is longer than any pull waits ({MAX_DURATION_MS / 1000.0:g}s at most)"
+        )
     return time
 
 
-def size(value: Any) -> float:
+def parse_size(value: Any) -> float:
     """Return a size in bytes; it carries its unit."""
     count = _quantity(value, SIZES, "a size", '"300KB"')
     if count < 0.0:
@@ -51,7 +53,7 @@
     return count
 
 
-def number(value: Any) -> float:
+def parse_number(value: Any) -> float:
     """Return a finite number."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"a number was expected, not {_told(value)}")
@@ -60,33 +62,33 @@
     return float(value)
 
 
-def whole(value: Any) -> int:
+def parse_integer(value: Any) -> int:
     """Return a whole number."""
-    if number(value) != int(value):
+    if parse_number(value) != int(value):
         raise ValueError(f"a whole number was expected, not {_told(value)}")
     return int(value)
 
 
-def span(value: Any) -> Any:
+def expand_span(value: Any) -> Any:
     """Let a duration stand for a span without a part."""
     return {"base": value} if isinstance(value, str) else value
 
 
-def time_out(value: Any) -> Any:
+def expand_time_out(value: Any) -> Any:
     """Let a span stand for the time-out of first and further relays alike."""
     if isinstance(value, str) or (isinstance(value, dict) and value.keys() & {"base", "part"}):
         return {"first": value}
     return value
 
 
-def pair(value: Any) -> Any:
+def expand_range(value: Any) -> Any:
     """Let a whole number stand for the range that holds it alone."""
     if isinstance(value, int | float) and not isinstance(value, bool):
         return {"from": value, "to": value}
     return value
 
 
-def many(value: Any) -> Any:
+def wrap_in_list(value: Any) -> Any:
     """Let one value stand for a list of it."""
     return value if isinstance(value, list) else [value]
 
@@ -95,9 +97,9 @@
     return repr(value)[:40]
 
 
-Duration = Annotated[float, BeforeValidator(duration)]
-Number = Annotated[float, BeforeValidator(number)]
-Whole = Annotated[int, BeforeValidator(whole)]
+Duration = Annotated[float, BeforeValidator(parse_duration)]
+Number = Annotated[float, BeforeValidator(parse_number)]
+Integer = Annotated[int, BeforeValidator(parse_integer)]
 
 
 class Strict(BaseModel):
@@ -113,7 +115,7 @@
     part: Annotated[Number, Field(ge=0.0, le=100.0)] = 0.0
 
 
-SpanField = Annotated[SpanForm, BeforeValidator(span)]
+SpanField = Annotated[SpanForm, BeforeValidator(expand_span)]
 
 
 class TimeOutForm(Strict):
@@ -123,7 +125,7 @@
     further: SpanField | None = None
 
 
-TimeOutField = Annotated[TimeOutForm, BeforeValidator(time_out)]
+TimeOutField = Annotated[TimeOutForm, BeforeValidator(expand_time_out)]
 
 
 class TimeOutsForm(Strict):
@@ -172,17 +174,17 @@
     share: Annotated[Number, Field(ge=0.0, le=1.0)]
     window: Annotated[Duration, Field(ge=1000.0)] = 10_000.0
     floor: Annotated[Number, Field(ge=0.0, le=10_000.0)] = 5.0
-    fleet: Annotated[Whole, Field(ge=1, le=10_000_000)] | None = None
+    fleet: Annotated[Integer, Field(ge=1, le=10_000_000)] | None = None
 
 
 class PlanForm(Strict):
     """What may be set for a default, a workload or a route; null takes an inherited value back."""
 
     time_outs: TimeOutsForm | None = None
-    relays: Annotated[Whole, Field(ge=1, le=64)] | None = None
+    relays: Annotated[Integer, Field(ge=1, le=64)] | None = None
     wait: WaitForm | None = None
     second: SecondForm | None = None
-    retry_on: list[Literal[tuple(WORDS)]] | None = None  # type: ignore[valid-type]
+    retry_on: list[Literal[tuple(OUTCOMES_BY_NAME)]] | None = None  # type: ignore[valid-type]
     budget: BudgetForm | None = None
     later: Annotated[Duration, Field(ge=1.0)] | None = None
     until: Literal["quoted", "cut-off"] | None = None
@@ -191,8 +193,8 @@
 class RangeForm(Strict):
     """Whole numbers from one to another, both in it."""
 
-    from_: Annotated[Whole, Field(ge=0)] = Field(default=0, alias="from")
-    to: Annotated[Whole, Field(ge=0)] | None = None
+    from_: Annotated[Integer, Field(ge=0)] = Field(default=0, alias="from")
+    to: Annotated[Integer, Field(ge=0)] | None = None
 
     @model_validator(mode="after")
     def _ordered(self) -> Self:
@@ -229,8 +231,8 @@
 class SizeForm(Strict):
     """Sizes of a part from one, in it, to another, not in it."""
 
-    from_: Annotated[float, BeforeValidator(size)] = Field(default=0.0, alias="from")
-    to: Annotated[float, BeforeValidator(size)] | None = None
+    from_: Annotated[float, BeforeValidator(parse_size)] = Field(default=0.0, alias="from")
+    to: Annotated[float, BeforeValidator(parse_size)] | None = None
 
     @model_validator(mode="after")
     def _ordered(self) -> Self:
@@ -239,21 +241,23 @@
         return self
 
 
-Texts = Annotated[list[str], BeforeValidator(many), Field(min_length=1)]
-Ranges = Annotated[
-    list[Annotated[RangeForm, BeforeValidator(pair)]], BeforeValidator(many), Field(min_length=1)
+StringList = Annotated[list[str], BeforeValidator(wrap_in_list), Field(min_length=1)]
+RangeList = Annotated[
+    list[Annotated[RangeForm, BeforeValidator(expand_range)]],
+    BeforeValidator(wrap_in_list),
+    Field(min_length=1),
 ]
 
 
 class MatchForm(Strict):
     """What a route matches: all that is named must hold, one of each list."""
 
-    workload: Texts | None = None
-    objects: Annotated[list[ObjectsForm], BeforeValidator(many), Field(min_length=1)] | None = None
-    groups: Ranges | None = None
-    parts: Ranges | None = None
+    workload: StringList | None = None
+    objects: Annotated[list[ObjectsForm], BeforeValidator(wrap_in_list), Field(min_length=1)] | None = None
+    groups: RangeList | None = None
+    parts: RangeList | None = None
     size: SizeForm | None = None
-    networks: Texts | None = None
+    networks: StringList | None = None
 
 
 class RouteForm(Strict):
@@ -267,8 +271,8 @@
 class NetworkForm(Strict):
     """A set of addresses: networks, addresses, ranges `a-b`, names of other sets, less what is excluded."""
 
-    include: Texts
-    exclude: Annotated[list[str], BeforeValidator(many)] = []
+    include: StringList
+    exclude: Annotated[list[str], BeforeValidator(wrap_in_list)] = []
     budget: BudgetForm | None = None
 
 
@@ -353,11 +357,11 @@
 
     interval: Annotated[Duration, Field(ge=100.0)] = 1000.0
     within: Annotated[Duration, Field(ge=10.0)] = 300.0
-    fails: Annotated[Whole, Field(ge=2, le=100)] = 3
-    passes: Annotated[Whole, Field(ge=1, le=100)] = 2
+    fails: Annotated[Integer, Field(ge=2, le=100)] = 3
+    passes: Annotated[Integer, Field(ge=1, le=100)] = 2
     lasts: Annotated[Duration, Field(ge=1000.0)] = 6000.0
     most_bad: Annotated[Number, Field(gt=0.0, le=1.0)] = 0.5
-    most_out: Annotated[Whole, Field(ge=1, le=1024)] = 32
+    most_out: Annotated[Integer, Field(ge=1, le=1024)] = 32
 
 
 class LogForm(Strict):
@@ -369,8 +373,8 @@
 class RelaysForm(Strict):
     """How many relays all fronts that send there may have out at one cache, and at one parent."""
 
-    caches: Annotated[Whole, Field(ge=1, le=1_000_000)] | None = None
-    parents: Annotated[Whole, Field(ge=1, le=1_000_000)] | None = None
+    caches: Annotated[Integer, Field(ge=1, le=1_000_000)] | None = None
+    parents: Annotated[Integer, Field(ge=1, le=1_000_000)] | None = None
 
 
 class LimitsForm(Strict):
@@ -411,11 +415,11 @@
     workloads: dict[str, PlanForm] = {}
     levels: LevelsForm | None = None
     fleet: FleetForm | None = None
-    largest: dict[str, Annotated[float, BeforeValidator(size)]] = {}
+    largest: dict[str, Annotated[float, BeforeValidator(parse_size)]] = {}
     routes: Annotated[list[RouteForm], Field(max_length=20_000)] = []
 
 
-def form(value: Any) -> tuple[FileForm | None, list[tuple[tuple[str | int, ...], str]]]:
+def validate_file(value: Any) -> tuple[FileForm | None, list[tuple[tuple[str | int, ...], str]]]:
     """Check the form of a value; return it with no faults, or nothing with each fault's path and reason."""
     try:
         return FileForm.model_validate(value), []
@@ -485,7 +489,7 @@
     return annotation
 
 
-def shown(path: tuple[str | int, ...]) -> str:
+def format_path(path: tuple[str | int, ...]) -> str:
     """Return a path as it is told: `routes[3].plan.relays`."""
     text = ""
     for step in path:
@@ -493,6 +497,6 @@
     return text
 
 
-def fault(path: tuple[str | int, ...], reason: str, place: str) -> Fault:
+def make_fault(path: tuple[str | int, ...], reason: str, place: str) -> Fault:
     """Return a fault with its path shown."""
-    return Fault(shown(path), reason, place)
+    return Fault(format_path(path), reason, place)
--- a/cometseam/ownership/__init__.py
+++ b/cometseam/ownership/__init__.py
@@ -1,12 +1,23 @@
 """Ownership of fleet work: one owner a task at a time, without I/O. The public door of the package."""
 
-from cometseam.ownership.bidding import Bidder
-from cometseam.ownership.fence import Fence, Verdict
-from cometseam.ownership.machine import Change, Owner, Refused, State, Terms
-from cometseam.ownership.shared import Tail, Turn
-from cometseam.ownership.view import Entry, Told, View
+from cometseam.ownership.campaigns import CampaignScheduler
+from cometseam.ownership.fence import Fence, FenceDecision
+from cometseam.ownership.key_range import KeyChange, KeyEntry, KeyRangeView
+from cometseam.ownership.log_sharing import LogPollGate, LogTail
+from cometseam.ownership.machine import Ownership, OwnershipTerms, OwnershipTermsError, State, StateChange
 
 __all__ = [
-    "Bidder", "Change", "Entry", "Fence", "Owner", "Refused", "State", "Tail", "Terms", "Told", "Turn",
-    "Verdict", "View",
-]  # fmt: skip
+    "CampaignScheduler",
+    "Fence",
+    "FenceDecision",
+    "KeyChange",
+    "KeyEntry",
+    "KeyRangeView",
+    "LogPollGate",
+    "LogTail",
+    "Ownership",
+    "OwnershipTerms",
+    "OwnershipTermsError",
+    "State",
+    "StateChange",
+]
--- a/cometseam/ownership/bidding.py
+++ b/cometseam/ownership/campaigns.py
@@ -10,7 +10,7 @@
 - the wait is never longer than `spread_ms`, which is part of the stated time without an owner.
 
 What is not seen is not relied on: a campaign that came to nothing (no answer, or held by another that this
-front has not seen) is tried again after `again_ms`, whatever the watch tells.
+front has not seen) is tried again after `retry_ms`, whatever the watch tells.
 """
 
 from dataclasses import dataclass
@@ -21,72 +21,72 @@
 
 
 @dataclass(slots=True)
-class Sight:
+class CampaignState:
     """What is known of one task: who holds it (0: nobody, -1: never seen), and when to campaign."""
 
     token: int = -1
-    bid_at: float | None = None
-    mine: bool = False
+    campaign_at: float | None = None
+    owned_here: bool = False
 
 
-class Bidder:
+class CampaignScheduler:
     """One front's campaigns. The table has one entry a task, as the operator's file names them."""
 
-    def __init__(self, name: str, tasks: list[str], spread_ms: float, again_ms: float) -> None:
-        if spread_ms < 0.0 or again_ms <= 0.0:
-            raise ValueError(f"spread_ms {spread_ms:g} and again_ms {again_ms:g} must be 0 or more, above 0")
-        self.name, self.spread_ms, self.again_ms = name, spread_ms, again_ms
-        self.tasks = {task: Sight() for task in tasks}
-        self.campaigns = 0  # begun: what this front costs the service
-        self.spared = 0  # not begun, since another was seen to hold the task in time
+    def __init__(self, name: str, tasks: list[str], spread_ms: float, retry_ms: float) -> None:
+        if spread_ms < 0.0 or retry_ms <= 0.0:
+            raise ValueError(f"spread_ms {spread_ms:g} and retry_ms {retry_ms:g} must be 0 or more, above 0")
+        self.name, self.spread_ms, self.retry_ms = name, spread_ms, retry_ms
+        self.tasks = {task: CampaignState() for task in tasks}
+        self.campaigns_started = 0  # begun: what this front costs the service
+        self.campaigns_avoided = 0  # not begun, since another was seen to hold the task in time
 
     @property
-    def held(self) -> int:
+    def owned_count(self) -> int:
         """How many tasks this front holds."""
-        return sum(sight.mine for sight in self.tasks.values())
+        return sum(sight.owned_here for sight in self.tasks.values())
 
-    def wait(self, task: str) -> float:
+    def campaign_delay(self, task: str) -> float:
         """How long (ms) this front waits before it campaigns for a task that has come free."""
         digest = blake2b(f"{self.name}\0{task}".encode(), digest_size=8).digest()
         draw = int.from_bytes(digest, "big") / 2.0**64
-        behind = min(self.held, ENOUGH) / ENOUGH
+        behind = min(self.owned_count, ENOUGH) / ENOUGH
         return self.spread_ms * ((1.0 - EQUALS) * behind + EQUALS * draw)
 
-    def seen(self, task: str, token: int, now: float) -> None:
+    def record_key(self, task: str, token: int, now: float) -> None:
         """The service shows a task's key, created at `token`; 0 where there is none."""
         sight = self.tasks.get(task)
-        if sight is None or sight.mine:
+        if sight is None or sight.owned_here:
             return
         if token:
-            self.spared += sight.bid_at is not None
-            sight.bid_at = None
-        elif sight.bid_at is None:
-            sight.bid_at = now + self.wait(task)
+            self.campaigns_avoided += sight.campaign_at is not None
+            sight.campaign_at = None
+        elif sight.campaign_at is None:
+            sight.campaign_at = now + self.campaign_delay(task)
         sight.token = token
 
-    def due(self, now: float) -> str | None:
+    def pop_due_task(self, now: float) -> str | None:
         """Tell the task to campaign for now, the one due longest, or None; it then waits for what comes of
-        it, or `again_ms`.
+        it, or `retry_ms`.
 
         One at a time: where many tasks come free at once (most of a fleet was restarted) each front begins
         with another and sees what the others took before it goes on, or the first ones up would ask for all.
         """
-        ready = [(s.bid_at, t) for t, s in self.tasks.items() if s.bid_at is not None]
+        ready = [(s.campaign_at, t) for t, s in self.tasks.items() if s.campaign_at is not None]
         if not ready or min(ready)[0] > now:
             return None
         task = min(ready)[1]
-        self.tasks[task].bid_at = now + self.again_ms
-        self.campaigns += 1
+        self.tasks[task].campaign_at = now + self.retry_ms
+        self.campaigns_started += 1
         return task
 
-    def next(self) -> float | None:
+    def next_campaign_at(self) -> float | None:
         """Tell when the next campaign is due; None where none is."""
-        return min((s.bid_at for s in self.tasks.values() if s.bid_at is not None), default=None)
+        return min((s.campaign_at for s in self.tasks.values() if s.campaign_at is not None), default=None)
 
-    def won(self, task: str, token: int) -> None:
+    def record_won(self, task: str, token: int) -> None:
         """This front holds the task."""
-        self.tasks[task] = Sight(token, None, True)
+        self.tasks[task] = CampaignState(token, None, True)
 
-    def lost(self, task: str, now: float) -> None:
+    def record_lost(self, task: str, now: float) -> None:
         """It holds it no more; whether another does is not known yet, so it campaigns after a while."""
-        self.tasks[task] = Sight(-1, now + self.again_ms, False)
+        self.tasks[task] = CampaignState(-1, now + self.retry_ms, False)
--- a/cometseam/ownership/fence.py
+++ b/cometseam/ownership/fence.py
@@ -15,11 +15,11 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class FenceDecision:
     """What a fence said of one effect: let through or not, and the highest token it knew then."""
 
     passed: bool
-    highest: int
+    highest_token: int
 
 
 class Fence:
@@ -27,23 +27,23 @@
 
     def __init__(self, enforce: bool = True) -> None:
         self.enforce = enforce
-        self.highest: dict[str, int] = {}
-        self.names: dict[str, str] = {}  # whose the highest token is, where owners tell
-        self.twins = 0  # effects refused since another owner came with the same token
+        self.highest_tokens: dict[str, int] = {}
+        self.owner_names: dict[str, str] = {}  # whose the highest token is, where owners tell
+        self.token_conflicts = 0  # effects refused since another owner came with the same token
 
-    def admit(self, task: str, token: int, name: str = "") -> Verdict:
+    def admit(self, task: str, token: int, name: str = "") -> FenceDecision:
         """Judge an effect of `task` with `token` from `name`; a token of 0 or less is no owner's: refused."""
-        known = self.highest.get(task, 0)
+        known = self.highest_tokens.get(task, 0)
         if token <= 0 or (self.enforce and token < known):
-            return Verdict(False, known)
-        if self.enforce and token == known and name != self.names.get(task, name):
-            self.twins += 1
-            return Verdict(False, known)
+            return FenceDecision(False, known)
+        if self.enforce and token == known and name != self.owner_names.get(task, name):
+            self.token_conflicts += 1
+            return FenceDecision(False, known)
         if token >= known:
-            self.highest[task], self.names[task] = token, name
-        return Verdict(True, self.highest[task])
+            self.highest_tokens[task], self.owner_names[task] = token, name
+        return FenceDecision(True, self.highest_tokens[task])
 
     def forget(self, task: str) -> None:
         """Drop a task that is no longer named."""
-        self.highest.pop(task, None)
-        self.names.pop(task, None)
+        self.highest_tokens.pop(task, None)
+        self.owner_names.pop(task, None)
--- a/cometseam/ownership/view.py
+++ b/cometseam/ownership/key_range.py
@@ -11,32 +11,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class KeyEntry:
     """A key: its value, the revisions at which it was created and last written."""
 
     value: bytes
-    created: int
-    written: int
+    create_revision: int
+    mod_revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class KeyChange:
     """A change: the key and its entry; None where it is gone."""
 
     key: bytes
-    entry: Entry | None
+    entry: KeyEntry | None
 
 
-class View:
+class KeyRangeView:
     """A range of keys. It holds what the range holds: a key that is gone leaves."""
 
     def __init__(self) -> None:
-        self.keys: dict[bytes, Entry] = {}
+        self.entries_by_key: dict[bytes, KeyEntry] = {}
         self.revision = 0  # the latest seen, of a read or an event
-        self.read_at: float | None = None  # when the last answered read was sent
-        self.rewound = 0  # times that the service came back with less than it had told
+        self.last_read_at: float | None = None  # when the last answered read was sent
+        self.revision_rollbacks = 0  # times that the service came back with less than it had told
 
-    def read(self, revision: int, entries: dict[bytes, Entry], sent_at: float, floor: int) -> list[Told]:
+    def apply_read(
+        self, revision: int, entries: dict[bytes, KeyEntry], sent_at: float, floor: int
+    ) -> list[KeyChange]:
         """Take in a whole read, sent at `sent_at` when `revision` here was `floor`; tell what changed.
 
         A read of a lower revision than was known when it was sent can only come from a service that lost
@@ -44,25 +46,27 @@
         of the lesser past stay refused until revisions have passed the old ones.
         """
         if revision < floor:
-            self.rewound += 1
+            self.revision_rollbacks += 1
         elif revision < self.revision:
             return []  # events have told more since it was answered; it says nothing of the time after
-        told = [Told(key, None) for key in self.keys if key not in entries]
-        told += [Told(key, entry) for key, entry in entries.items() if self.keys.get(key) != entry]
-        self.keys, self.revision, self.read_at = dict(entries), revision, sent_at
+        told = [KeyChange(key, None) for key in self.entries_by_key if key not in entries]
+        told += [
+            KeyChange(key, entry) for key, entry in entries.items() if self.entries_by_key.get(key) != entry
+        ]
+        self.entries_by_key, self.revision, self.last_read_at = dict(entries), revision, sent_at
         return told
 
-    def event(self, revision: int, key: bytes, entry: Entry | None) -> list[Told]:
+    def apply_event(self, revision: int, key: bytes, entry: KeyEntry | None) -> list[KeyChange]:
         """Take in an event of the watch, a write (`entry`) or a removal (None), made at `revision`."""
-        known = self.keys.get(key)
-        if revision < self.revision or (known is not None and known.written >= revision):
+        known = self.entries_by_key.get(key)
+        if revision < self.revision or (known is not None and known.mod_revision >= revision):
             return []  # a read, or the event itself, told it already
         self.revision = revision
         if entry is None:
-            return [Told(key, None)] if self.keys.pop(key, None) is not None else []
-        self.keys[key] = entry
-        return [Told(key, entry)]
+            return [KeyChange(key, None)] if self.entries_by_key.pop(key, None) is not None else []
+        self.entries_by_key[key] = entry
+        return [KeyChange(key, entry)]
 
     def age(self, now: float) -> float:
         """How old (ms) what is here can be at most; infinite before the first read."""
-        return float("inf") if self.read_at is None else now - self.read_at
+        return float("inf") if self.last_read_at is None else now - self.last_read_at
--- a/cometseam/ownership/shared.py
+++ b/cometseam/ownership/log_sharing.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Tail:
+class LogTail:
     """The reader's side: its last events. It holds `TAIL` of them, and `MOST` bytes, at most."""
 
     events: deque[tuple[int, int, Any]] = field(default_factory=deque)  # number, size, event
@@ -40,36 +40,36 @@
             while self.events and (len(self.events) > TAIL or self.size > MOST):
                 self.size -= self.events.popleft()[1]
 
-    def told(self) -> list[Any]:
+    def event_payloads(self) -> list[Any]:
         """The events to be said, in order."""
         return [event for _, _, event in self.events]
 
 
-class Turn:
+class LogPollGate:
     """The others' side: whether this front polls the log itself."""
 
     def __init__(self, bound_ms: float) -> None:
         self.bound_ms = bound_ms
-        self.word: tuple[int, int] = (0, 0)  # token of the reader and its polls, as last heard
-        self.heard_at: float | None = None
-        self.gap = False
-        self.stale = 0  # words of an older reader, passed over
+        self.latest_update: tuple[int, int] = (0, 0)  # token of the reader and its polls, as last heard
+        self.received_at: float | None = None
+        self.has_gap = False
+        self.stale_updates = 0  # words of an older reader, passed over
 
-    def hears(self, token: int, polls: int, now: float) -> bool:
+    def record_update(self, token: int, polls: int, now: float) -> bool:
         """A word of the reader was seen; return whether it says something new."""
-        if (token, polls) < self.word:
-            self.stale += 1
+        if (token, polls) < self.latest_update:
+            self.stale_updates += 1
             return False
-        if (token, polls) == self.word:
+        if (token, polls) == self.latest_update:
             return False  # a read of the whole shows it again: it is no fresher for it
-        self.word, self.heard_at = (token, polls), now
+        self.latest_update, self.received_at = (token, polls), now
         return True
 
-    def caught_up(self, whole: bool) -> None:
+    def record_catch_up(self, whole: bool) -> None:
         """The word was taken in, and went on from where this front was (`whole`) or left a gap."""
-        self.gap = not whole
+        self.has_gap = not whole
 
-    def polls(self, reads: bool, now: float) -> bool:
+    def should_poll(self, reads: bool, now: float) -> bool:
         """Tell whether this front polls the log now; `reads`: it holds the task `list`."""
-        fresh = self.heard_at is not None and now < self.heard_at + self.bound_ms
-        return reads or self.gap or not fresh
+        fresh = self.received_at is not None and now < self.received_at + self.bound_ms
+        return reads or self.has_gap or not fresh
--- a/cometseam/ownership/machine.py
+++ b/cometseam/ownership/machine.py
@@ -23,12 +23,12 @@
     LOST = "lost"  # the service said the lease or key is gone, or another holds it
 
 
-class Refused(ValueError):
+class OwnershipTermsError(ValueError):
     """Terms under which no front could own a task safely: one line naming the term and the reason."""
 
 
 @dataclass(frozen=True)
-class Terms:
+class OwnershipTerms:
     """What ownership of a task goes by.
 
     `ttl_ms`: the lease's time to live as granted (etcd grants whole seconds). `margin_ms`: how long before
@@ -45,48 +45,49 @@
     round_trip_ms: float
 
     def check(self) -> None:
-        """Refuse terms that cannot keep one owner at a time: `Refused`, naming the first term at fault."""
+        """Refuse terms that cannot keep one owner at a time: `OwnershipTermsError`, naming the first term at
+        fault."""
         if not 0.0 <= self.drift < 0.1:
-            raise Refused(f"drift: {self.drift} is outside 0 to 0.1")
+            raise OwnershipTermsError(f"drift: {self.drift} is outside 0 to 0.1")
         if self.round_trip_ms <= 0.0:
-            raise Refused(f"round_trip_ms: {self.round_trip_ms} is not above 0")
+            raise OwnershipTermsError(f"round_trip_ms: {self.round_trip_ms} is not above 0")
         if self.ttl_ms <= self.round_trip_ms:
-            raise Refused(
+            raise OwnershipTermsError(
                 f"ttl_ms: {self.ttl_ms:g} ms is not longer than a round trip of {self.round_trip_ms:g} ms"
             )
         if self.margin_ms < 0.0:
-            raise Refused(f"margin_ms: {self.margin_ms} is below 0")
-        if self.acting_ms <= self.round_trip_ms:
-            raise Refused(
-                f"margin_ms: {self.margin_ms:g} ms leaves {self.acting_ms:g} ms to act of a "
+            raise OwnershipTermsError(f"margin_ms: {self.margin_ms} is below 0")
+        if self.acting_window_ms <= self.round_trip_ms:
+            raise OwnershipTermsError(
+                f"margin_ms: {self.margin_ms:g} ms leaves {self.acting_window_ms:g} ms to act of a "
                 f"{self.ttl_ms:g} ms lease, "
                 f"not more than a round trip of {self.round_trip_ms:g} ms"
             )
-        if not self.round_trip_ms <= self.renew_ms <= self.acting_ms - self.round_trip_ms:
-            raise Refused(
+        if not self.round_trip_ms <= self.renew_ms <= self.acting_window_ms - self.round_trip_ms:
+            raise OwnershipTermsError(
                 f"renew_ms: {self.renew_ms:g} ms must lie between a round trip ({self.round_trip_ms:g} ms) "
-                f"and the time to act less a round trip ({self.acting_ms - self.round_trip_ms:g} ms), "
+                f"and the time to act less a round trip ({self.acting_window_ms - self.round_trip_ms:g} ms), "
                 "so that a renewal lands in time"
             )
 
     @property
-    def acting_ms(self) -> float:
+    def acting_window_ms(self) -> float:
         """How long after sending a grant or renewal an owner may act: the lease less drift and margin."""
         return self.ttl_ms * (1.0 - self.drift) - self.margin_ms
 
 
 @dataclass(frozen=True)
-class Change:
+class StateChange:
     """A change of state, for the log and for the module: before, after, the token, the time (ms), why."""
 
     before: State
     after: State
     token: int
     at: float
-    why: str
+    reason: str
 
 
-class Owner:
+class Ownership:
     """One front's standing towards one task.
 
     Events come in by the methods below, each with the time it was seen; `may_act(now)` is the one question
@@ -94,23 +95,24 @@
     holds the token and two times, no more.
     """
 
-    def __init__(self, task: str, terms: Terms) -> None:
+    def __init__(self, task: str, terms: OwnershipTerms) -> None:
         terms.check()
         self.task = task
         self.terms = terms
         self.state = State.CANDIDATE
         self.token = 0
         self.sent_at = 0.0  # when the last request that granted or renewed the lease was sent
-        self.seen = 0.0  # the latest time handed in
-        self.turns = 0  # how often the clock was seen to go back: what was sent before a turn proves nothing
-        self.changes: list[Change] = []  # emptied by whoever reads them: `drain`
+        self.last_now = 0.0  # the latest time handed in
+        # How often the clock was seen to go back: what was sent before a turn proves nothing.
+        self.clock_regressions = 0
+        self.changes: list[StateChange] = []  # emptied by whoever reads them: `pop_changes`
 
     def _go(self, after: State, at: float, why: str) -> None:
         if after is not self.state:
-            self.changes.append(Change(self.state, after, self.token, at, why))
+            self.changes.append(StateChange(self.state, after, self.token, at, why))
             self.state = after
 
-    def drain(self) -> list[Change]:
+    def pop_changes(self) -> list[StateChange]:
         """Return the changes since the last call, and forget them."""
         changes, self.changes = self.changes, []
         return changes
@@ -119,38 +121,40 @@
         """Take in the time. Guards against a clock that goes back (a process moved to another machine, a
         suspended one, a faulty source): by it a lease that has ended still lives. What holds the lease is
         then unproven, so this front acts no more until a renewal that it sends from now on is answered."""
-        if now < self.seen:
-            self.turns += 1
-            self.sent_at = now - self.terms.acting_ms
+        if now < self.last_now:
+            self.clock_regressions += 1
+            self.sent_at = now - self.terms.acting_window_ms
             if self.state is State.OWNER:
                 self._go(State.LOSING, now, "clock went back")
-        self.seen = now
+        self.last_now = now
 
-    def won(self, token: int, sent_at: float, now: float, turns: int = 0) -> None:
+    def record_won(self, token: int, sent_at: float, now: float, clock_regressions: int = 0) -> None:
         """The campaign's transaction wrote this front's key at revision `token`; the lease was asked at
-        `sent_at`, when `turns` was the machine's."""
+        `sent_at`, when `clock_regressions` was the machine's."""
         if token <= 0:
             raise ValueError(f"token {token} is not a revision")
         self._look(now)
         self.token = token
-        self.sent_at = sent_at if turns == self.turns else now - self.terms.acting_ms
+        self.sent_at = (
+            sent_at if clock_regressions == self.clock_regressions else now - self.terms.acting_window_ms
+        )
         self._go(State.OWNER if self._live(now) else State.LOSING, now, "won")
 
-    def renewed(self, sent_at: float, ttl_ms: float, now: float, turns: int = 0) -> None:
-        """A keep-alive sent at `sent_at`, when `turns` was the machine's, came back with `ttl_ms` left; 0 or
-        less means the lease is gone."""
+    def record_renewal(self, sent_at: float, ttl_ms: float, now: float, clock_regressions: int = 0) -> None:
+        """A keep-alive sent at `sent_at`, when `clock_regressions` was the machine's, came back with `ttl_ms`
+        left; 0 or less means the lease is gone."""
         self._look(now)
         if self.state not in (State.OWNER, State.LOSING):
             return
         if ttl_ms <= 0.0:
             self._go(State.LOST, now, "lease gone")
             return
-        if turns == self.turns:
+        if clock_regressions == self.clock_regressions:
             # A reply to an older keep-alive than one already counted moves nothing back.
             self.sent_at = max(self.sent_at, sent_at)
         self._go(State.OWNER if self._live(now) else State.LOSING, now, "renewed")
 
-    def saw(self, holder_token: int, now: float) -> None:
+    def record_key_holder(self, holder_token: int, now: float) -> None:
         """The service shows the task's key written at `holder_token`, or 0 for no key."""
         if self.state in (State.OWNER, State.LOSING) and holder_token != self.token:
             self._go(State.LOST, now, "key gone" if holder_token == 0 else "held by another")
@@ -162,23 +166,26 @@
         The second guards against a link that carries requests but loses their answers: the keep-alives still
         reach the service and keep the lease, so that no other front can take the task, while this one never
         hears that it may act. Given up, it stops renewing, and the lease ends one TTL after the last
-        keep-alive arrived. A task is so without an owner for at most `acting_ms + 2 * ttl_ms` after the last
-        answer heard.
+        keep-alive arrived. A task is so without an owner for at most `acting_window_ms + 2 * ttl_ms` after
+        the last answer heard.
         """
         self._look(now)
         if self.state is State.OWNER and not self._live(now):
             self._go(State.LOSING, now, "renewal overdue")
-        if self.state is State.LOSING and now >= self.sent_at + self.terms.acting_ms + self.terms.ttl_ms:
+        if (
+            self.state is State.LOSING
+            and now >= self.sent_at + self.terms.acting_window_ms + self.terms.ttl_ms
+        ):
             self._go(State.LOST, now, "unheard for a lease")
 
-    def campaign(self, now: float) -> bool:
+    def begin_campaign(self, now: float) -> bool:
         """Whether to campaign now: only a candidate, or one that has lost, does; it is then a candidate."""
         if self.state is State.LOST:
             self._go(State.CANDIDATE, now, "campaign again")
         return self.state is State.CANDIDATE
 
     def _live(self, now: float) -> bool:
-        return self.token > 0 and now < self.sent_at + self.terms.acting_ms
+        return self.token > 0 and now < self.sent_at + self.terms.acting_window_ms
 
     def may_act(self, now: float) -> bool:
         """Whether an effect sent now is safe by this front's own clock; an owner past its time becomes
@@ -186,6 +193,6 @@
         self.tick(now)
         return self.state is State.OWNER
 
-    def until(self) -> float:
+    def may_act_until(self) -> float:
         """The time (ms) until which this front may act, or 0 where it holds nothing."""
-        return self.sent_at + self.terms.acting_ms if self.token else 0.0
+        return self.sent_at + self.terms.acting_window_ms if self.token else 0.0
--- a/cometseam/protocol/__init__.py
+++ b/cometseam/protocol/__init__.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 
-class Malformed(ValueError):
+class ProtocolError(ValueError):
     """The other side sent what the protocol does not allow."""
 
 
@@ -17,7 +17,7 @@
     def write(self, data: memoryview) -> int:
         """Take in what is still missing, at most all of `data`, and tell how much that was."""
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether nothing is missing any more."""
 
     def views(self, start: int = 0) -> list[memoryview]:
@@ -27,4 +27,5 @@
         """Give the room back; the body must not be used after it."""
 
 
-Room = Callable[[int], Body | None]  # room for so many bytes; None: none is left now, ask again later
+# Room for so many bytes; None: none is left now, ask again later.
+BodyAllocator = Callable[[int], Body | None]
--- a/cometseam/protocol/changelog.py
+++ b/cometseam/protocol/discovery_events.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass
 
 from cometseam.interface import Lifecycle
-from cometseam.protocol import Malformed
-from cometseam.reading import Faulty, Section
-from cometseam.settings import Names
+from cometseam.json_section import FieldError, Section
+from cometseam.protocol import ProtocolError
+from cometseam.settings import NameTables
 
-MOST = 4 << 20  # bytes of one answer
-STATES = {"active": Lifecycle.READY, "leaving": Lifecycle.DRAINING, "left": Lifecycle.GONE}
+MAX_ANSWER_BYTES = 4 << 20  # bytes of one answer
+LIFECYCLES = {"active": Lifecycle.READY, "leaving": Lifecycle.DRAINING, "left": Lifecycle.GONE}
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class EndpointEntry:
     """One line of the list of caches; zone and kind by their places in the settings."""
 
     name: str
@@ -33,12 +33,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointList:
     """The list of caches, or what has changed in it."""
 
     seq: int
-    whole: bool
-    lines: tuple[Line, ...]
+    is_snapshot: bool
+    entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,59 +52,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unusable:
+class UnusableEvent:
     """An event that can't be read, and of a list of caches the lines that can."""
 
     seq: int
-    why: str
-    usable: Listing | None = None
+    reason: str
+    usable: EndpointList | None = None
 
 
-Change = Listing | Purge | Unusable
+DiscoveryEvent = EndpointList | Purge | UnusableEvent
 
 
-def path(since: int, timeout: int) -> str:
+def poll_path(since: int, timeout: int) -> str:
     """Return what to ask for: the events after `since`."""
     return f"/changes?since={since}&timeout={timeout}"
 
 
-def read_text(raw: bytes, names: Names) -> list[Change]:
+def parse_answer(raw: bytes, names: NameTables) -> list[DiscoveryEvent]:
     """Read the text of an answer."""
     try:
-        return read_changes(Section(json.loads(raw)), names)
+        return read_events(Section(json.loads(raw)), names)
     except (ValueError, RecursionError) as error:
-        raise Malformed(str(error)) from error
+        raise ProtocolError(str(error)) from error
 
 
-def read_changes(answer: Section, names: Names) -> list[Change]:
+def read_events(answer: Section, names: NameTables) -> list[DiscoveryEvent]:
     """Read events, in order. One that can't be read says so in its place: none is half applied."""
-    answer.whole("seq", low=0)
-    changes: list[Change] = []
+    answer.integer("seq", minimum=0)
+    changes: list[DiscoveryEvent] = []
     for item in answer.sections("results"):
-        seq = item.whole("seq", low=0)
+        seq = item.integer("seq", minimum=0)
         try:
             changes.append(_purge(seq, item) if "invalidate" in item.values else _whole(seq, item, names))
-        except Faulty as error:
-            changes.append(Unusable(seq, str(error), _usable(seq, item, names)))
+        except FieldError as error:
+            changes.append(UnusableEvent(seq, str(error), _usable(seq, item, names)))
     return sorted(changes, key=lambda change: change.seq)
 
 
 def _purge(seq: int, item: Section) -> Purge:
     purge = item.section("invalidate")
-    time = purge.number("time", low=0)
+    time = purge.number("time", minimum=0)
     if "object" in purge.values:
         return Purge(seq, read_id(purge, "object"), 0, time)
-    return Purge(seq, 0, purge.whole("bucket", low=0), time)
+    return Purge(seq, 0, purge.integer("bucket", minimum=0), time)
 
 
-def _whole(seq: int, item: Section, names: Names) -> Listing:
+def _whole(seq: int, item: Section, names: NameTables) -> EndpointList:
     """Read a list of caches of which each line can be read."""
     listing = item.section("fleet")
     lines = tuple(_line(line, names) for line in listing.sections("endpoints"))
-    return Listing(seq, listing.flag("snapshot"), lines)
+    return EndpointList(seq, listing.flag("snapshot"), lines)
 
 
-def _usable(seq: int, item: Section, names: Names) -> Listing | None:
+def _usable(seq: int, item: Section, names: NameTables) -> EndpointList | None:
     """Read what can be read of a list of caches.
 
     Of a line that can't, the name and a state that takes no more requests are enough: it counts as gone.
@@ -113,30 +113,30 @@
     try:
         listing = item.section("fleet")
         for line in listing.sections("endpoints"):
-            with suppress(Faulty):
+            with suppress(FieldError):
                 try:
                     lines.append(_line(line, names))
-                except Faulty:
+                except FieldError:
                     name = line.text("name")
-                    if line.one_of("status", STATES) is not Lifecycle.READY:
-                        lines.append(Line(name, ("", 0), 0, 0, 0, Lifecycle.GONE, 1.0, 0.0))
-        return Listing(seq, listing.flag("snapshot"), tuple(lines)) if lines else None
-    except Faulty:
+                    if line.one_of("status", LIFECYCLES) is not Lifecycle.READY:
+                        lines.append(EndpointEntry(name, ("", 0), 0, 0, 0, Lifecycle.GONE, 1.0, 0.0))
+        return EndpointList(seq, listing.flag("snapshot"), tuple(lines)) if lines else None
+    except FieldError:
         return None
 
 
-def _line(line: Section, names: Names) -> Line:
+def _line(line: Section, names: NameTables) -> EndpointEntry:
     zones = {name: place for place, name in enumerate(names.zones)}
     kinds = {name: place for place, name in enumerate(names.kinds)}
-    return Line(
+    return EndpointEntry(
         name=line.text("name"),
         address=read_address(line, "address"),
         zone=line.one_of("zone", zones),
         kind=line.one_of("type", kinds),
-        cell=line.whole("group", 0),
-        lifecycle=line.one_of("status", STATES),
-        weight=line.number("weight", 1.0, low=0),
-        ready_at=line.number("since_ms", 0.0, low=0),
+        cell=line.integer("group", 0),
+        lifecycle=line.one_of("status", LIFECYCLES),
+        weight=line.number("weight", 1.0, minimum=0),
+        ready_at=line.number("since_ms", 0.0, minimum=0),
     )
 
 
@@ -148,7 +148,7 @@
             return int(text, 16)
     except ValueError:
         pass
-    raise Faulty(f"{section.at(key)}: 16 hex digits were expected, not {text[:40]!r}")
+    raise FieldError(f"{section.key_path(key)}: 16 hex digits were expected, not {text[:40]!r}")
 
 
 def read_address(section: Section, key: str) -> tuple[str, int]:
@@ -156,5 +156,5 @@
     text = section.text(key)
     host, mark, port = text.rpartition(":")
     if not mark or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise Faulty(f"{section.at(key)}: host:port was expected, not {text[:40]!r}")
+        raise FieldError(f"{section.key_path(key)}: host:port was expected, not {text[:40]!r}")
     return host, int(port)
--- a/cometseam/protocol/frames.py
+++ b/cometseam/protocol/frames.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cometseam.protocol import Body, Malformed, Room
+from cometseam.protocol import Body, BodyAllocator, ProtocolError
 
 HEAD = struct.Struct(">IBI")
-COUNTED = 5  # bytes of the head that a frame's length counts
-MOST = 262144
+COUNTED_HEAD_BYTES = 5  # bytes of the head that a frame's length counts
+MAX_FRAME_LENGTH = 262144
 
 
-class Type(IntEnum):
+class FrameType(IntEnum):
     """What a frame is."""
 
     PULL = 16
@@ -23,7 +23,7 @@
     NO_MORE = 48
 
 
-class Code(IntEnum):
+class AnswerCode(IntEnum):
     """What an answer tells."""
 
     SERVED = 1
@@ -33,27 +33,29 @@
 
 @dataclass(slots=True)
 class Frame:
-    """One frame; its payload lies in `room`, or is small and came in one piece."""
+    """One frame; its payload lies in `payload_buffer`, or is small and came in one piece."""
 
     type: int
     stream: int
     payload: bytes = b""
-    room: Body | None = None
+    payload_buffer: Body | None = None
 
-    def split(self) -> tuple[dict[str, str], int]:
+    def parse_fields(self) -> tuple[dict[str, str], int]:
         """Read the fields, and tell where the body begins."""
-        return read_fields(self.payload if self.room is None else b"".join(self.room.views()))
+        return read_fields(
+            self.payload if self.payload_buffer is None else b"".join(self.payload_buffer.views())
+        )
 
     def free(self) -> None:
         """Give back what the payload took."""
-        if self.room is not None:
-            self.room.free()
+        if self.payload_buffer is not None:
+            self.payload_buffer.free()
 
 
 class Decoder:
     """Takes a stream apart into frames."""
 
-    def __init__(self, room: Room) -> None:
+    def __init__(self, room: BodyAllocator) -> None:
         self._room = room
         self._head = bytearray()
         self._body: Body | None = None
@@ -69,9 +71,9 @@
                 if len(self._head) < HEAD.size:
                     break
             length, kind, stream = HEAD.unpack(self._head)
-            if not COUNTED <= length <= MOST:
-                raise Malformed(f"a frame of {length} bytes")
-            size = length - COUNTED
+            if not COUNTED_HEAD_BYTES <= length <= MAX_FRAME_LENGTH:
+                raise ProtocolError(f"a frame of {length} bytes")
+            size = length - COUNTED_HEAD_BYTES
             if self._body is None:
                 if size <= len(data) - at:
                     out.append(Frame(kind, stream, bytes(data[at : at + size])))
@@ -82,14 +84,14 @@
                 if self._body is None:
                     break
             at += self._body.write(data[at:])
-            if self._body.is_whole():
+            if self._body.is_complete():
                 out.append(Frame(kind, stream, b"", self._body))
                 self._head.clear()
                 self._body = None
         return at
 
     @property
-    def is_inside(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Tell whether a frame is half read."""
         return bool(self._head)
 
@@ -111,12 +113,12 @@
             size = payload[end] << 8 | payload[end + 1]
             at = end + 2 + size
             if at > len(payload):
-                raise Malformed("fields: the payload ends inside them")
+                raise ProtocolError("fields: the payload ends inside them")
             if name in fields:
-                raise Malformed("fields: one comes twice")
+                raise ProtocolError("fields: one comes twice")
             fields[name] = payload[end + 2 : at].decode()
     except (IndexError, UnicodeDecodeError) as error:
-        raise Malformed(f"fields: {error}") from error
+        raise ProtocolError(f"fields: {error}") from error
     return fields, at
 
 
@@ -129,57 +131,57 @@
     return b"".join(parts)
 
 
-def write_frame(kind: Type, stream: int, payload: bytes = b"", more: int = 0) -> bytes:
+def write_frame(kind: FrameType, stream: int, payload: bytes = b"", more: int = 0) -> bytes:
     """Write a frame, or the beginning of one whose payload goes on for `more` bytes."""
-    return HEAD.pack(COUNTED + len(payload) + more, kind, stream) + payload
+    return HEAD.pack(COUNTED_HEAD_BYTES + len(payload) + more, kind, stream) + payload
 
 
-def write_answer(stream: int, code: Code, fields: dict[str, str], more: int = 0) -> bytes:
+def write_answer(stream: int, code: AnswerCode, fields: dict[str, str], more: int = 0) -> bytes:
     """Write an answer up to its body."""
-    return write_frame(Type.ANSWER, stream, bytes((code,)) + write_fields(fields), more)
+    return write_frame(FrameType.ANSWER, stream, bytes((code,)) + write_fields(fields), more)
 
 
 @dataclass(slots=True)
-class Order:
+class PullRequest:
     """What a client asks for."""
 
     id: str
     workload: str
-    left: float
+    time_left: float
     object: str
     part: int
     group: int
     size_kb: float
     held_tag: str  # of the copy that the client holds; empty: none
     frame: Frame
-    body_at: int
-    mark: str = ""  # by which caches know a repeat of a tagged pull; goes on unchanged
+    body_offset: int
+    idempotency_key: str = ""  # by which caches know a repeat of a tagged pull; goes on unchanged
 
     def body(self) -> list[memoryview]:
         """Return the body, in pieces."""
-        if self.frame.room is not None:
-            return self.frame.room.views(self.body_at)
-        return [memoryview(self.frame.payload)[self.body_at :]]
+        if self.frame.payload_buffer is not None:
+            return self.frame.payload_buffer.views(self.body_offset)
+        return [memoryview(self.frame.payload)[self.body_offset :]]
 
 
-LONGEST_LEFT = 3600000.0
+MAX_TIME_LEFT_MS = 3600000.0
 HEX_DIGITS = frozenset("0123456789abcdef")
 NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")  # no other alphabet's digits
 MARK = re.compile(r"[!-+\--<>-~]{0,128}")  # printable, but for what parts the fields of a command
 WHOLE = re.compile(r"[0-9]{1,12}")
 
 
-def read_order(frame: Frame) -> Order:
+def read_pull_request(frame: Frame) -> PullRequest:
     """Read an order; what is missing or unusable is malformed, and the text names the field."""
-    fields, body_at = frame.split()
+    fields, body_at = frame.parse_fields()
 
     def number(name: str, low: float, high: float, form: re.Pattern[str] = NUMBER) -> float:
         text = fields.get(name, "")
         if not form.fullmatch(text):
-            raise Malformed(f"{name}: missing or not a number of its kind")
+            raise ProtocolError(f"{name}: missing or not a number of its kind")
         value = float(text)
         if not low <= value <= high:
-            raise Malformed(f"{name}: out of range")
+            raise ProtocolError(f"{name}: out of range")
         return value
 
     def whole(name: str, high: int) -> int:
@@ -188,45 +190,47 @@
     def tag(name: str) -> str:
         value = fields.get(name, "")
         if len(value) != 16 or not HEX_DIGITS.issuperset(value):
-            raise Malformed(f"{name}: missing or not 16 hex digits")
+            raise ProtocolError(f"{name}: missing or not 16 hex digits")
         return value
 
     def mark() -> str:
         value = fields.get("unique", "")
         if not MARK.fullmatch(value):  # it is written among other fields
-            raise Malformed("unique: not a mark that can be passed on")
+            raise ProtocolError("unique: not a mark that can be passed on")
         return value
 
-    return Order(
+    return PullRequest(
         id=tag("txn"),
         workload=fields.get("verb", ""),
-        left=number("limit", 1, LONGEST_LEFT),
+        time_left=number("limit", 1, MAX_TIME_LEFT_MS),
         object=tag("item"),
         part=whole("nth", 65535),
         group=whole("batch", 255),
         size_kb=number("ram", 0, 1e9),
         held_tag=tag("got") if "got" in fields else "",
         frame=frame,
-        body_at=body_at,
-        mark=mark(),
+        body_offset=body_at,
+        idempotency_key=mark(),
     )
 
 
 def write_served(stream: int, copy_holds: bool, more: int) -> bytes:
     """Write the answer that a pull was served, up to its body."""
-    return write_answer(stream, Code.SERVED, {"ok304": "1"} if copy_holds else {}, more)
+    return write_answer(stream, AnswerCode.SERVED, {"ok304": "1"} if copy_holds else {}, more)
 
 
 def write_shed(stream: int, come_back_in: float) -> bytes:
     """Write the answer that a pull was shed."""
-    return write_answer(stream, Code.SHED, {"later": str(round(come_back_in))} if come_back_in > 0 else {})
+    return write_answer(
+        stream, AnswerCode.SHED, {"later": str(round(come_back_in))} if come_back_in > 0 else {}
+    )
 
 
 def write_errored(stream: int, why: str = "") -> bytes:
     """Write the answer that a pull has errored; on stream 0 it belongs to no pull."""
-    return write_answer(stream, Code.ERRORED, {"reason": why[:200]} if why else {})
+    return write_answer(stream, AnswerCode.ERRORED, {"reason": why[:200]} if why else {})
 
 
 def write_readiness(stream: int, ready: bool) -> bytes:
     """Write whether the front can serve."""
-    return write_frame(Type.READINESS, stream, bytes((1 if ready else 2,)) + write_fields({}))
+    return write_frame(FrameType.READINESS, stream, bytes((1 if ready else 2,)) + write_fields({}))
--- a/cometseam/protocol/resp.py
+++ b/cometseam/protocol/resp.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass, replace
 
 from cometseam.interface import Outcome, Remark
-from cometseam.protocol import Body, Malformed, Room
+from cometseam.protocol import Body, BodyAllocator, ProtocolError
 
-MOST_BODY = 262144
-MOST_HEAD = 8192  # bytes of an answer up to its body
+MAX_BODY_BYTES = 262144
+MAX_HEAD_BYTES = 8192  # bytes of an answer up to its body
 MOST_NUMBER = 12  # bytes of a line that counts something
-ALIVE = "FIT"
-WORDS = {
+HELLO_REPLY = "FIT"
+OUTCOMES_BY_WORD = {
     "DONE": Outcome.OK, "KEEP": Outcome.OK, "LACK": Outcome.MISS, "WAIT": Outcome.FULL,
-    "BROKE": Outcome.ERROR, "PAST": Outcome.MOOT, ALIVE: Outcome.OK,
+    "BROKE": Outcome.ERROR, "PAST": Outcome.NOT_SENT, HELLO_REPLY: Outcome.OK,
 }  # fmt: skip
 REMARKS = {
     "cached": Remark.HIT, "fetched": Remark.FILLED, "fetched_root": Remark.FILLED_FROM_ORIGIN,
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """One answer of a cache; `copy_holds`: the client's copy is the one, and no bytes come."""
+    """One answer of a cache; `is_not_modified`: the client's copy is the one, and no bytes come."""
 
     id: str
     word: str
@@ -55,12 +55,12 @@
     tag: str = ""  # of the copy
 
     @property
-    def copy_holds(self) -> bool:
+    def is_not_modified(self) -> bool:
         """Tell whether the client's own copy is the one."""
         return self.word == "KEEP"
 
 
-class Void:
+class DiscardedBody:
     """Passes over the bytes of a message that nobody wants."""
 
     def __init__(self, size: int) -> None:
@@ -72,7 +72,7 @@
         self._missing -= taken
         return taken
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether nothing is missing any more."""
         return not self._missing
 
@@ -87,7 +87,7 @@
 class Decoder:
     """Takes a stream apart into answers."""
 
-    def __init__(self, room: Room) -> None:
+    def __init__(self, room: BodyAllocator) -> None:
         self._room = room
         self._head = bytearray()
         self._begun: Answer | None = None
@@ -100,11 +100,11 @@
         while at < len(data):
             if self._begun is None:
                 had = len(self._head)
-                self._head += data[at : at + MOST_HEAD - had]
+                self._head += data[at : at + MAX_HEAD_BYTES - had]
                 read = _read_head(self._head)
                 if read is None:
-                    if len(self._head) >= MOST_HEAD:
-                        raise Malformed("an answer's fields do not end")
+                    if len(self._head) >= MAX_HEAD_BYTES:
+                        raise ProtocolError("an answer's fields do not end")
                     return len(data)
                 self._begun, self._size, end = read
                 at += end - had
@@ -122,7 +122,7 @@
                 self._size -= taken
             elif self._ending:
                 if data[at] != b"\r\n"[2 - self._ending]:
-                    raise Malformed("a body is longer than told")
+                    raise ProtocolError("a body is longer than told")
                 self._ending -= 1
                 at += 1
             if self._begun is not None and self._size <= 0 and not self._ending:
@@ -131,23 +131,23 @@
         return at
 
     @property
-    def is_inside(self) -> bool:
+    def has_partial_answer(self) -> bool:
         """Tell whether an answer is half read."""
         return bool(self._head) or self._begun is not None
 
     @property
-    def half_read(self) -> str | None:
+    def partial_answer_id(self) -> str | None:
         """Tell whose answer is half read: an id, empty where that has not come yet; None: there is none."""
         if self._begun is not None:
             return self._begun.id
         return "" if self._head else None
 
-    def drop(self, id: str) -> None:
+    def discard(self, id: str) -> None:
         """Keep no more of this answer, if it is half read: its rest is passed over."""
         if self._begun is not None and self._begun.id == id:
             if self._begun.body is not None:
                 self._begun.body.free()
-            self._begun = replace(self._begun, body=Void(self._size))
+            self._begun = replace(self._begun, body=DiscardedBody(self._size))
 
     def close(self) -> None:
         """Give back what a half-read answer took."""
@@ -162,7 +162,7 @@
     if count is None:
         return None
     if not 2 <= count[0] <= 4:
-        raise Malformed(f"an answer of {count[0]} parts")
+        raise ProtocolError(f"an answer of {count[0]} parts")
     parts: list[bytes] = []
     at = count[1]
     for place in range(count[0]):
@@ -171,17 +171,17 @@
             return None
         at = size[1]
         if place == 3:
-            if size[0] > MOST_BODY:
-                raise Malformed(f"a body of {size[0]} bytes")
+            if size[0] > MAX_BODY_BYTES:
+                raise ProtocolError(f"a body of {size[0]} bytes")
             return _answer(parts, True), size[0], at
-        if size[0] > MOST_HEAD:
-            raise Malformed(f"a part of {size[0]} bytes")
+        if size[0] > MAX_HEAD_BYTES:
+            raise ProtocolError(f"a part of {size[0]} bytes")
         if len(raw) < at + size[0] + 2:
             return None
         parts.append(bytes(raw[at : at + size[0]]))
         at += size[0] + 2
         if raw[at - 2 : at] != b"\r\n":
-            raise Malformed("a part is longer than told")
+            raise ProtocolError("a part is longer than told")
     return _answer(parts, False), -1, at
 
 
@@ -190,18 +190,18 @@
         id, word, *rest = (part.decode() for part in parts)
         fields = read_fields(rest[0]) if rest else {}
     except UnicodeDecodeError as error:
-        raise Malformed(f"an answer that is no text: {error}") from error
-    if word not in WORDS:
-        raise Malformed(f"an unknown word {word[:20]!r}")
+        raise ProtocolError(f"an answer that is no text: {error}") from error
+    if word not in OUTCOMES_BY_WORD:
+        raise ProtocolError(f"an unknown word {word[:20]!r}")
     if word == "DONE" and not has_body:
-        raise Malformed("DONE without bytes")
+        raise ProtocolError("DONE without bytes")
     load = None
     if "rep" in fields:
         items = (item.partition(":") for item in fields["rep"].split(";"))
         load = {name: _read_figure(value) for name, _, value in items}
     waited = max(_read_figure(fields["lag"]), 0.0) if "lag" in fields else 0.0
     remark = REMARKS.get(fields.get("why", ""), Remark.NONE)
-    return Answer(id, word, WORDS[word], remark, waited, load, tag=fields.get("tag", ""))
+    return Answer(id, word, OUTCOMES_BY_WORD[word], remark, waited, load, tag=fields.get("tag", ""))
 
 
 def _read_figure(text: str) -> float:
@@ -210,21 +210,21 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise Malformed(f"a figure was expected, not {text[:20]!r}")
+        raise ProtocolError(f"a figure was expected, not {text[:20]!r}")
     return value
 
 
 def _read_number(raw: bytearray, at: int, mark: bytes) -> tuple[int, int] | None:
     if len(raw) > at and raw[at : at + 1] != mark:
-        raise Malformed(f"{mark!r} was expected, not {bytes(raw[at : at + 1])!r}")
+        raise ProtocolError(f"{mark!r} was expected, not {bytes(raw[at : at + 1])!r}")
     end = raw.find(b"\r\n", at, at + MOST_NUMBER)
     if end < 0:
         if len(raw) >= at + MOST_NUMBER:
-            raise Malformed("a number that does not end")
+            raise ProtocolError("a number that does not end")
         return None
     digits = bytes(raw[at + 1 : end])
     if not digits.isdigit():
-        raise Malformed(f"a number was expected, not {digits!r}")
+        raise ProtocolError(f"a number was expected, not {digits!r}")
     return int(digits), end + 2
 
 
@@ -236,7 +236,7 @@
     for item in text.split(","):
         name, mark, value = item.partition("=")
         if not mark:
-            raise Malformed(f"a field without a value: {item[:40]!r}")
+            raise ProtocolError(f"a field without a value: {item[:40]!r}")
         fields[name] = value
     return fields
 
--- a/cometseam/routing/actor.py
+++ b/cometseam/routing/actor.py
@@ -13,97 +13,110 @@
 from anyio.abc import TaskGroup
 
 from cometseam import interface as i
-from cometseam.counters import COUNTERS, invariant
-from cometseam.events import say
+from cometseam.counters import COUNTERS, check_invariant
+from cometseam.events import log_event
 from cometseam.logic import Front
 from cometseam.mailbox import Mailbox
-from cometseam.operator import Compiled
-from cometseam.protocol.changelog import Change, Listing, Purge
-from cometseam.protocol.frames import Order
+from cometseam.operator import CompiledConfig
+from cometseam.protocol.discovery_events import DiscoveryEvent, EndpointList, Purge
+from cometseam.protocol.frames import PullRequest
 from cometseam.protocol.resp import Answer
 from cometseam.routing import translate
-from cometseam.routing.messages import ClientGone, Grant, Judge, Message, Replan, RequestReceived
-from cometseam.settings import Names
-from cometseam.timing import Table
-from cometseam.tracing import Mode, Told, Tracer
-from cometseam.transport.attempt import Ask, End, GiveUp, How
+from cometseam.routing.messages import (
+    CacheCapacityLease,
+    CacheHealthVerdict,
+    ClientGone,
+    Message,
+    PlansUpdated,
+    RequestReceived,
+)
+from cometseam.settings import NameTables
+from cometseam.timing import RouteTable
+from cometseam.tracing import FinishedTrace, TraceMode, Tracer
+from cometseam.transport.attempt import Attempt, AttemptEnded, EndReason, GiveUp
 from cometseam.transport.client import Client
 from cometseam.transport.clock import Timer
 from cometseam.transport.peer import Peer
-from cometseam.transport.surroundings import Surroundings
+from cometseam.transport.resources import ProcessResources
 
 if TYPE_CHECKING:
-    from cometseam.routing.levels import Levels
+    from cometseam.routing.levels import LevelManager
 
 
 # ms after which a pull's client is looked at itself before anything is sent for the pull: nothing is sent on
 # later than 100 ms after its client has left, and what tells of that may lie unread while the front is late.
-LOOK_AFTER = 50.0
+CLIENT_CHECK_AFTER_MS = 50.0
 HELD_SHARE = 0.4  # of a request's time that it may wait for discovery: given up later, it is of less use
 REMEMBERED = 256  # endpoints that drain or are gone, with the time of that, for the log
 
 
 @dataclass(slots=True, eq=False)
-class Open:
+class OpenPull:
     """A pull that is owed an answer or whose relay is out; it leaves when neither holds."""
 
     number: int
     client: Client
     stream: int
-    order: Order
+    order: PullRequest
     event: i.Pull
-    cut_off: float
-    taken_at: float
-    owed: bool = True
-    relays: int = 0
-    out: "Out | None" = None
+    deadline: float
+    received_at: float
+    unanswered: bool = True
+    relay_count: int = 0
+    in_flight: "InFlightRelay | None" = None
     timer: Timer | None = None
 
 
 @dataclass(slots=True)
-class Out:
+class InFlightRelay:
     """The relay of a pull that is out."""
 
     relay: i.Relay
-    ask: Ask
+    attempt: Attempt
     peer: Peer | None
 
 
 def _has_waited(message: Message, now: float) -> bool:
     """Tell whether a request that is held is to wait no longer."""
-    return isinstance(message, RequestReceived) and now - message.at >= HELD_SHARE * message.order.left
+    return (
+        isinstance(message, RequestReceived)
+        and now - message.received_at >= HELD_SHARE * message.order.time_left
+    )
 
 
 class Router:
     """The actor round one `Front`."""
 
     def __init__(
-        self, front: Front, names: Names, most_open: int, around: Surroundings, seed: int = 0,
+        self, front: Front, names: NameTables, most_open: int, around: ProcessResources, seed: int = 0,
         tracer: Tracer | None = None,
     ) -> None:  # fmt: skip
         self._seed = seed  # of what is drawn beside the module: how much later than others levels change
-        self._levels: Levels | None = None
+        self._levels: LevelManager | None = None
         self._front, self._names, self._around = front, names, around
         self._workloads = {name: place for place, name in enumerate(names.workloads)}
-        self._roster = translate.Roster()
+        self._roster = translate.EndpointTable()
         self._peers: dict[int, Peer] = {}  # by cache; one leaves when its cache has gone or moved
         self._mailbox: Mailbox[Message] = Mailbox(most_open)
         self._most_open = most_open
-        self._open: dict[int, Open] = {}
-        self._by_stream: dict[tuple[Client, int], Open] = {}  # a pull leaves when it is no longer owed
+        self._open: dict[int, OpenPull] = {}
+        self._by_stream: dict[tuple[Client, int], OpenPull] = {}  # a pull leaves when it is no longer owed
         self._ids: set[str] = set()  # of the pulls in `_open`
         self._last = 0
         self._events: deque[i.Event] = deque()  # what is still to be handed to the module
         self._tasks: TaskGroup | None = None
-        self._table: Table | None = None  # of the operator's routes; pulls that are open keep their plan
+        self._table: RouteTable | None = None  # of the operator's routes; pulls that are open keep their plan
         self._listed = False
-        self.read_discovery: Callable[[], None] = lambda: None  # takes in what lies unread, see `change`
+        # Takes in what lies unread, see `apply_changes`.
+        self.read_discovery: Callable[[], None] = lambda: None
         # Told of each attempt that is written; for how long (ms) discovery has not confirmed the list, if so.
-        self.attempt_written: Callable[[], float | None] = lambda: None
+        self.on_attempt_written: Callable[[], float | None] = lambda: None
         self._told_at: dict[int, float] = {}  # by cache that drains or is gone: when that was taken in
         self.draining = self._closing = False
-        self._tracer = tracer if tracer is not None and tracer.mode is not Mode.OFF else None
-        self._quoted = [each.quoted for each in front.settings.workloads] if self._tracer is not None else []
+        self._tracer = tracer if tracer is not None and tracer.mode is not TraceMode.OFF else None
+        self._quoted = (
+            [each.target_latency for each in front.settings.workloads] if self._tracer is not None else []
+        )
 
     # What others tell it
 
@@ -112,78 +125,82 @@
         return self._listed and not self.draining and not self._around.confirmation_wait()
 
     @property
-    def owed(self) -> int:
+    def pending_count(self) -> int:
         """Tell how many pulls are open or still to be taken in."""
         return len(self._open) + len(self._mailbox)
 
     @property
-    def owes(self) -> bool:
+    def has_unanswered(self) -> bool:
         """Tell whether a pull that has come is still to be answered."""
-        return any(pull.owed for pull in self._open.values()) or any(
+        return any(pull.unanswered for pull in self._open.values()) or any(
             isinstance(message, RequestReceived) for message in self._mailbox
         )
 
-    def take(self, client: Client, stream: int, order: Order) -> bool:
+    def submit_pull(self, client: Client, stream: int, order: PullRequest) -> bool:
         """Take a pull in, unless as many are open as it may hold, or the front is about to end."""
-        if self._closing or self.owed >= self._most_open:
+        if self._closing or self.pending_count >= self._most_open:
             COUNTERS.add("pull.no_room")
             return False
         # Its client counts from when it sent it: what lay there while the process stood still may be as old.
-        return self._mailbox.offer(RequestReceived(client, stream, order, self._around.arrived_at()))
+        return self._mailbox.offer(RequestReceived(client, stream, order, self._around.earliest_arrival()))
 
     def hang_up(self, client: Client, stream: int) -> None:
         """A client no longer waits; its pull, if it was not handled yet, comes first."""
         self._mailbox.push(ClientGone(client, stream))
 
-    def change(self, changes: list[Change], is_news: bool = True) -> None:
+    def apply_changes(self, changes: list[DiscoveryEvent], is_live: bool = True) -> None:
         """Act on events of discovery, in this turn: what is decided from now on goes by them.
 
-        `is_news`: they were told while the front ran; else they are those of its start.
+        `is_live`: they were told while the front ran; else they are those of its start.
         """
         for change in changes:
             try:
-                self._change(change, is_news)
+                self._change(change, is_live)
             except Exception as error:  # the events behind it count all the same
                 COUNTERS.add("routing.exception")
-                say("actor.failed", error, kind=type(change).__name__)
+                log_event("actor.failed", error, kind=type(change).__name__)
 
-    def lag(self, by: float) -> None:
+    def record_loop_lag(self, by: float) -> None:
         """The front comes so much later to what is due."""
-        self._around.sampled(by)
-        self._mailbox.put_urgent(i.Lagged(by))  # told a few times a second
+        self._around.record_loop_lag(by)
+        self._mailbox.put_urgent(i.LoopLagged(by))  # told a few times a second
 
-    def replan(self, compiled: Compiled) -> None:
+    def update_plans(self, compiled: CompiledConfig) -> None:
         """Have pulls that are taken from now on go by other plans."""
-        self._mailbox.put_urgent(Replan(compiled))  # one a reload
+        self._mailbox.put_urgent(PlansUpdated(compiled))  # one a reload
 
-    def judge(self, cache: str, bad: bool, rest: float, age: float) -> None:
+    def apply_verdict(self, cache: str, bad: bool, rest: float, age: float) -> None:
         """Take in a verdict of the fleet on a cache; one on a cache that is not listed is passed over."""
-        self._mailbox.put_urgent(Judge(cache, bad, rest, age))  # as many as there are caches, a few a minute
+        # As many as there are caches, a few a minute.
+        self._mailbox.put_urgent(CacheHealthVerdict(cache, bad, rest, age))
 
-    def grant(self, group: str, cache: str, part: float, lasts: float) -> None:
+    def apply_capacity_lease(self, group: str, cache: str, part: float, lasts: float) -> None:
         """Take in this front's part of a limit: of what a cold cache bears from all fronts, of relays out
         there, or (`cache` is then its name) of what a budget of further relays allows the fleet."""
         # As many as there are cold caches, or capped ones, and such budgets, each refresh.
         if group.startswith("retries:"):
-            self._mailbox.put_urgent(i.Allotted(cache, part, lasts))
+            self._mailbox.put_urgent(i.RetryBudgetShare(cache, part, lasts))
         else:
-            self._mailbox.put_urgent(Grant(cache, part, lasts, group.endswith(":relays")))
+            self._mailbox.put_urgent(CacheCapacityLease(cache, part, lasts, group.endswith(":relays")))
 
-    def cap(self, caches: float, parents: float) -> None:
+    def set_concurrency_cap(self, caches: float, parents: float) -> None:
         """Have the fleet's relays out at one cache, and at one parent, held to so many; 0: any."""
-        self._mailbox.put_urgent(i.Capped(caches, parents))  # once
+        self._mailbox.put_urgent(i.ConcurrencyCap(caches, parents))  # once
 
-    def wishes(self) -> dict[str, dict[str, float]]:
+    def capacity_demands(self) -> dict[str, dict[str, float]]:
         """Return which part of each shared limit this front wishes for, by group of fronts and cache."""
-        from cometseam.routing import shares  # only where limits are shared
+        from cometseam.routing import capacity_demand  # only where limits are shared
 
         now = self._around.clock.now()
-        found = shares.retries(self._front.plans, now)
-        for what, wishes in (("", shares.wishes), (shares.RELAYS, shares.relays)):
+        found = capacity_demand.retry_demands(self._front.active_plans, now)
+        for what, wishes in (
+            ("", capacity_demand.slow_start_demands),
+            (capacity_demand.RELAYS_SUFFIX, capacity_demand.relay_demands),
+        ):
             for cache, wish in wishes(self._front, now).items():
                 line = self._roster.get(cache)
                 if line is not None:
-                    group = shares.group(self._front, cache, self._names.zones) + what
+                    group = capacity_demand.group_of(self._front, cache, self._names.zones) + what
                     found.setdefault(group, {})[line.name] = wish
         return found
 
@@ -191,31 +208,31 @@
         """Return where the listed caches of this list are, by name: those that may be sent to."""
         return self._roster.addresses()
 
-    def _relevel(self, compiled: Compiled) -> None:
+    def _relevel(self, compiled: CompiledConfig) -> None:
         """Take other levels of reduced service over; the present one goes on by its name."""
-        if compiled.scheme is None:
+        if compiled.level_policy is None:
             if self._levels is not None:
-                self._levels.end()
+                self._levels.disable()
                 self._levels = None
             return
-        both = zip(compiled.names, compiled.table.routes, strict=True)
+        both = zip(compiled.route_names, compiled.table.routes, strict=True)
         routes = tuple((name, plan) for name, (plan, _) in both)
         if self._levels is not None:
-            self._levels.replace(compiled.scheme, routes)
+            self._levels.replace(compiled.level_policy, routes)
             return
-        from cometseam.routing.levels import Levels  # with its histograms, only where there are levels
+        from cometseam.routing.levels import LevelManager  # with its histograms, only where there are levels
 
-        self._levels = Levels(
-            compiled.scheme, routes, self._front, self._names.workloads, self._around, self._decide,
+        self._levels = LevelManager(
+            compiled.level_policy, routes, self._front, self._names.workloads, self._around, self._decide,
             lambda: len(self._open) / self._most_open, self._seed,
         )  # fmt: skip
 
     async def close(self) -> None:
         """Keep what is kept over restarts: the front ends."""
         if self._levels is not None:
-            self._levels.end_process()
+            self._levels.save_level()
 
-    def _report(self, end: End) -> None:
+    def _report(self, end: AttemptEnded) -> None:
         self._mailbox.put_urgent(end)  # as many as there are relays out, at most
 
     # The actor
@@ -231,7 +248,7 @@
                     self._handle(message)
                 except Exception as error:
                     COUNTERS.add("routing.exception")
-                    say("actor.failed", error, kind=type(message).__name__)
+                    log_event("actor.failed", error, kind=type(message).__name__)
 
     def _hold_requests(self) -> float:
         """Return for how many ms requests are still held at most, until discovery has confirmed the list.
@@ -244,7 +261,7 @@
             for message in self._mailbox.remove(lambda message: _has_waited(message, now)):
                 assert isinstance(message, RequestReceived)
                 COUNTERS.add("pull.shed_unconfirmed")
-                message.client.shed(message.stream, wait)
+                message.client.answer_shed(message.stream, wait)
                 message.order.frame.free()
         return wait
 
@@ -252,29 +269,30 @@
         match message:
             case RequestReceived():
                 self._taken(message)
-            case End():
+            case AttemptEnded():
                 self._ended(message)
             case ClientGone():
                 pull = self._by_stream.get((message.client, message.stream))
                 if pull is not None:
                     self._hung_up(pull)
-            case i.Rang() | i.Capped() | i.Allotted() | i.Closing():
+            case i.TimerFired() | i.ConcurrencyCap() | i.RetryBudgetShare() | i.ShuttingDown():
                 self._decide(message)
-            case i.Lagged():
+            case i.LoopLagged():
                 self._decide(message)
                 if self._levels is not None:
-                    self._levels.look(message.by)
-            case Judge():
+                    self._levels.update(message.lag)
+            case CacheHealthVerdict():
                 number = self._roster.number(message.cache)
                 if number is None:  # it has left the list, or is not on this front's yet
                     COUNTERS.add("fleet.verdict.unlisted")
                     return
-                self._decide(i.Judged(number, message.bad, message.rest, message.age))
-            case Grant():
+                self._decide(i.HealthVerdict(number, message.bad, message.ttl, message.age))
+            case CacheCapacityLease():
                 number = self._roster.number(message.cache)
                 if number is not None:
-                    self._decide(i.Granted(number, message.part, message.lasts, message.relays))
-            case Replan():  # between two events: no pull sees half of the old routes and half of the new
+                    self._decide(i.CapacityLease(number, message.share, message.ttl, message.for_relays))
+            case PlansUpdated():
+                # Between two events: no pull sees half of the old routes and half of the new.
                 self._table = message.compiled.table
                 self._decide(message.compiled.plans)
                 self._relevel(message.compiled)
@@ -282,37 +300,39 @@
     def _taken(self, taken: RequestReceived) -> None:
         order, now = taken.order, self._around.clock.now()
         # Guards the others against pulls withdrawn by the hundred.
-        if not self._awaits(taken.client, taken.stream, taken.at):
+        if not self._awaits(taken.client, taken.stream, taken.received_at):
             COUNTERS.add("pull.withdrawn")
             order.frame.free()
             return
         workload = self._workloads.get(order.workload)
         if workload is None:
-            taken.client.unusable(taken.stream, "verb: unknown")
+            taken.client.reject_input(taken.stream, "verb: unknown")
             order.frame.free()
             return
         if order.id in self._ids:
-            taken.client.unusable(taken.stream, "txn: open already")
+            taken.client.reject_input(taken.stream, "txn: open already")
             order.frame.free()
             return
         self._last += 1
-        cut_off = taken.at + order.left
-        event = translate.pull(self._last, order, workload, cut_off - now)
+        cut_off = taken.received_at + order.time_left
+        event = translate.pull_event(self._last, order, workload, cut_off - now)
         if self._table is not None:
-            translate.plan(event, self._table, taken.client.address)
-            event.client = translate.network_of(taken.client.address)
-        pull = Open(self._last, taken.client, taken.stream, order, event, cut_off, taken.at)
+            translate.assign_plan(event, self._table, taken.client.address)
+            event.client_network = translate.network_of(taken.client.address)
+        pull = OpenPull(self._last, taken.client, taken.stream, order, event, cut_off, taken.received_at)
         self._open[pull.number] = pull
         self._ids.add(order.id)
         self._by_stream[taken.client, taken.stream] = pull
         COUNTERS.add("pull.taken")
-        COUNTERS.see("pull.open", len(self._open))
+        COUNTERS.record_max("pull.open", len(self._open))
         if self._tracer is not None:
-            quoted = self._quoted[workload] if workload < len(self._quoted) else cut_off - taken.at
-            self._tracer.taken(pull.number, order.id, order.workload, taken.at, quoted, cut_off - taken.at)
+            quoted = self._quoted[workload] if workload < len(self._quoted) else cut_off - taken.received_at
+            self._tracer.start_trace(
+                pull.number, order.id, order.workload, taken.received_at, quoted, cut_off - taken.received_at
+            )
         # Guards the first rule against faults of this program: within the grace, whatever else happens.
         due = cut_off + self._around.links.answer_grace
-        pull.timer = self._around.timers.at(due, lambda: self._overdue(pull))
+        pull.timer = self._around.timers.call_at(due, lambda: self._overdue(pull))
         self._decide(event)
 
     def _awaits(self, client: Client, stream: int, since: float) -> bool:
@@ -321,35 +341,35 @@
         Asked just before a request is written, so what discovery has told is read here as well.
         """
         self.read_discovery()
-        if self._around.clock.now() - since > LOOK_AFTER:
-            client.look()
+        if self._around.clock.now() - since > CLIENT_CHECK_AFTER_MS:
+            client.withdraw_if_disconnected()
         return client.awaits(stream)
 
-    def _hung_up(self, pull: Open) -> None:
+    def _hung_up(self, pull: OpenPull) -> None:
         COUNTERS.add("pull.hung_up")
         self._settle(pull, "hung_up")
-        self._decide(i.HungUp(pull.number))
+        self._decide(i.ClientDisconnected(pull.number))
 
-    def _overdue(self, pull: Open) -> None:
-        if pull.owed:
+    def _overdue(self, pull: OpenPull) -> None:
+        if pull.unanswered:
             self._settle(pull, "overdue")
-            pull.client.errored(pull.stream)
-            invariant(False, "an answer by the cut-off")
+            pull.client.answer_errored(pull.stream)
+            check_invariant(False, "an answer by the cut-off")
 
-    def _change(self, change: Change, is_news: bool) -> None:
+    def _change(self, change: DiscoveryEvent, is_news: bool) -> None:
         if isinstance(change, Purge):
             COUNTERS.add("changelog.purges")
-            self._decide(translate.purged(change, self._around.clock.now(), is_news))
+            self._decide(translate.purge_event(change, self._around.clock.now(), is_news))
             wanted, group = change.object, change.group
             self._reconsider(
                 lambda pull, _: pull.event.object == wanted if wanted else pull.event.group == group
             )
-        elif isinstance(change, Listing):
+        elif isinstance(change, EndpointList):
             had = self._roster.starts()
-            members = self._roster.take(change, self._around.clock.now(), is_news)
+            members = self._roster.apply_listing(change, self._around.clock.now(), is_news)
             now = self._roster.starts()
             changed = {cache for cache in had if now.get(cache) != had[cache]}
-            self._around.peers = len(self._roster)
+            self._around.peer_count = len(self._roster)
             self._told_at = {cache: at for cache, at in self._told_at.items() if cache not in now}
             self._told_at.update(dict.fromkeys(had.keys() - now.keys(), self._around.clock.now()))
             while len(self._told_at) > REMEMBERED:
@@ -359,26 +379,30 @@
                 if line is None or line.address != peer.address:
                     del self._peers[cache]
                     self._start(self._retire, peer)
-            first = not self._listed and change.whole
+            first = not self._listed and change.is_snapshot
             self._listed = True
-            self._decide(i.Members(i.ListKind.CACHED, members.entries) if first else members)
+            self._decide(i.CacheListUpdate(i.ListUpdateKind.CACHED, members.entries) if first else members)
             # What waits was decided for a cache that was ready, at that address, since that start.
             self._reconsider(lambda _, relay: relay.cache in changed or relay.source in changed)
 
-    def _reconsider(self, concerned: Callable[[Open, i.Relay], bool]) -> None:
+    def _reconsider(self, concerned: Callable[[OpenPull, i.Relay], bool]) -> None:
         """Take back relays not written yet: they were decided before a drain, a purge, a new start.
 
         They are marked in this turn: a connection may come up before the peer's actor has its next.
         """
         for pull in list(self._open.values()):
-            if pull.out is not None and pull.out.peer is not None and concerned(pull, pull.out.relay):
-                pull.out.ask.wanted = False
-                pull.out.peer.mailbox.push(GiveUp(pull.out.ask, if_unsent=True))
+            if (
+                pull.in_flight is not None
+                and pull.in_flight.peer is not None
+                and concerned(pull, pull.in_flight.relay)
+            ):
+                pull.in_flight.attempt.wanted = False
+                pull.in_flight.peer.mailbox.push(GiveUp(pull.in_flight.attempt, if_unsent=True))
 
     async def _retire(self, peer: Peer) -> None:
         """Let what is out to a peer that is gone come to its end."""
         while not peer.is_idle:
-            await anyio.sleep(self._around.links.connect_within / 1000.0)
+            await anyio.sleep(self._around.links.connect_timeout / 1000.0)
         peer.stop()
 
     def _start(self, run: Callable[..., object], *arguments: object) -> None:
@@ -396,11 +420,11 @@
                     self._act(action)
             except Exception as error:
                 COUNTERS.add("module.exception")
-                say("module.failed", error, kind=type(event).__name__)
+                log_event("module.failed", error, kind=type(event).__name__)
                 pull = self._open.get(getattr(event, "id", -1))
-                if pull is not None and pull.owed:
+                if pull is not None and pull.unanswered:
                     self._settle(pull, "errored")
-                    pull.client.errored(pull.stream)
+                    pull.client.answer_errored(pull.stream)
 
     def _act(self, action: i.Action) -> None:
         match action:
@@ -408,71 +432,73 @@
                 self._relay(action)
             case i.Shed() | i.Error():
                 pull = self._open.get(action.id)
-                if pull is None or not pull.owed:
+                if pull is None or not pull.unanswered:
                     return
                 self._settle(pull, "shed" if isinstance(action, i.Shed) else "errored")
                 if isinstance(action, i.Shed):
                     self._told(pull, "shed")
-                    pull.client.shed(pull.stream, action.come_back_in)
+                    pull.client.answer_shed(pull.stream, action.retry_after)
                 else:
                     self._told(pull, "errored")
-                    pull.client.errored(pull.stream)
+                    pull.client.answer_errored(pull.stream)
             case i.Recall():
                 pull = self._open.get(action.id)
-                if pull is not None and pull.out is not None and pull.out.peer is not None:
-                    pull.out.peer.mailbox.push(GiveUp(pull.out.ask, action.if_unsent))
-            case i.Wake():
-                rang = i.Rang(action.mark)
-                due = self._around.clock.now() + action.after
-                self._around.timers.at(due, lambda: self._mailbox.put_urgent(rang))
+                if pull is not None and pull.in_flight is not None and pull.in_flight.peer is not None:
+                    pull.in_flight.peer.mailbox.push(GiveUp(pull.in_flight.attempt, action.if_unsent))
+            case i.StartTimer():
+                rang = i.TimerFired(action.timer_id)
+                due = self._around.clock.now() + action.delay
+                self._around.timers.call_at(due, lambda: self._mailbox.put_urgent(rang))
             case i.Watch():
                 # The log is followed at all times; the call's one answer tells that nothing was missed.
-                self._events.append(i.Members(i.ListKind.CHANGES, ()))
+                self._events.append(i.CacheListUpdate(i.ListUpdateKind.CHANGES, ()))
             case i.Probe():
-                self._events.append(i.Probed(action.cache, i.Outcome.MOOT, ()))
-            case i.Say():
-                say("module.says", text=action.text)
+                self._events.append(i.ProbeEnded(action.cache, i.Outcome.NOT_SENT, ()))
+            case i.LogMessage():
+                log_event("module.says", text=action.text)
 
     def _relay(self, relay: i.Relay) -> None:
         pull = self._open[relay.id]
-        invariant(pull.owed and pull.out is None, "a relay for a pull that is owed and has none out")
+        check_invariant(
+            pull.unanswered and pull.in_flight is None, "a relay for a pull that is owed and has none out"
+        )
         now = self._around.clock.now()
         source = self._roster.get(relay.source) if relay.source != relay.cache else None
-        due = now + relay.time_out if relay.time_out else pull.cut_off
-        command = translate.command(relay, pull.order, source.name if source is not None else "")
-        ask = Ask(pull.number, pull.relays, command, pull.order.body(), now, due)
-        ask.awaited = lambda: self._awaits(pull.client, pull.stream, pull.taken_at)
-        ask.begins = lambda: self._audit(relay, pull.order.id)
-        if relay.within:
-            ask.begin_by = now + relay.within
+        due = now + relay.timeout if relay.timeout else pull.deadline
+        command = translate.relay_command(relay, pull.order, source.name if source is not None else "")
+        ask = Attempt(pull.number, pull.relay_count, command, pull.order.body(), now, due)
+        ask.is_client_waiting = lambda: self._awaits(pull.client, pull.stream, pull.received_at)
+        ask.on_begin = lambda: self._audit(relay, pull.order.id)
+        if relay.write_within:
+            ask.begin_by = now + relay.write_within
         peer = self._peer(relay.cache)
-        pull.relays += 1
-        pull.out = Out(relay, ask, peer)
+        pull.relay_count += 1
+        pull.in_flight = InFlightRelay(relay, ask, peer)
         COUNTERS.add("relay.sent")
         if self._tracer is not None:
             line = self._roster.get(relay.cache)
             named = line.name if line is not None else str(relay.cache)
-            self._tracer.relay(pull.number, now, named, source.name if source else "", relay.time_out)
+            self._tracer.record_relay(pull.number, now, named, source.name if source else "", relay.timeout)
         if peer is None or not peer.mailbox.offer(ask):
             COUNTERS.add("relay.no_room")
-            self._report(End(ask, How.UNSENT))
+            self._report(AttemptEnded(ask, EndReason.UNSENT))
 
     def _audit(self, relay: i.Relay, request: str) -> None:
         """Log a request written by a list that discovery has not confirmed, or against what is known.
 
         The latter goes to an endpoint that drains or is gone, or names one as its source.
         """
-        unconfirmed_for = self.attempt_written()
+        unconfirmed_for = self.on_attempt_written()
         if unconfirmed_for is not None:
             COUNTERS.add("attempt.unconfirmed")
             endpoint = self._named(relay.cache)
-            say("attempt.unconfirmed", request=request, endpoint=endpoint, lasted=unconfirmed_for)
-        late = [cache for cache in (relay.cache, relay.source) if not self._roster.ready(cache)]
+            log_event("attempt.unconfirmed", request=request, endpoint=endpoint, lasted=unconfirmed_for)
+        late = [cache for cache in (relay.cache, relay.source) if not self._roster.is_ready(cache)]
         if late:
             COUNTERS.add("attempt.after_drain")
             now = self._around.clock.now()
             after = max(now - self._told_at.get(cache, now) for cache in late)
-            say("attempt.after_drain", request=request, endpoint=self._named(relay.cache),
+            log_event("attempt.after_drain", request=request, endpoint=self._named(relay.cache),
                 source=self._named(relay.source), after=after)  # fmt: skip
 
     def _named(self, cache: int) -> str:
@@ -482,87 +508,97 @@
     def _peer(self, cache: int) -> Peer | None:
         peer, line = self._peers.get(cache), self._roster.get(cache)
         if peer is None and line is not None:
-            most = self._around.links.streams * self._around.share
+            most = self._around.links.max_streams * self._around.connections_per_peer
             peer = Peer(line.name, line.address, self._around, self._report, Mailbox(most))
             self._peers[cache] = peer
             self._start(peer.run)
         return peer
 
-    def _ended(self, end: End) -> None:
-        answer, pull = end.answer, self._open.get(end.ask.pull)
-        invariant(pull is not None and pull.out is not None, "an end of a relay that is out")
-        kind = answer.word.lower() if answer is not None else end.how
+    def _ended(self, end: AttemptEnded) -> None:
+        answer, pull = end.answer, self._open.get(end.attempt.pull_number)
+        check_invariant(pull is not None and pull.in_flight is not None, "an end of a relay that is out")
+        kind = answer.word.lower() if answer is not None else end.reason
         COUNTERS.add(f"relay.{kind}")
-        if pull is not None and pull.out is not None and pull.out.peer is not None:
-            pull.out.peer.ends[kind] += 1
+        if pull is not None and pull.in_flight is not None and pull.in_flight.peer is not None:
+            pull.in_flight.peer.end_counts[kind] += 1
         body = answer.body if answer is not None else None
-        if pull is None or pull.out is None:
+        if pull is None or pull.in_flight is None:
             if body is not None:
                 body.free()
             return
-        cache, pull.out = pull.out.relay.cache, None
+        cache, pull.in_flight = pull.in_flight.relay.cache, None
         if self._tracer is not None:
             self._trace_end(pull, cache, kind, answer)
-        if answer is not None and answer.outcome is i.Outcome.OK and pull.owed:
+        if answer is not None and answer.outcome is i.Outcome.OK and pull.unanswered:
             self._settle(pull, "finished")
             self._told(pull, "finished")
-            pull.client.served(pull.stream, answer.copy_holds, body)
+            pull.client.answer_served(pull.stream, answer.is_not_modified, body)
         elif body is not None:
             body.free()
-        if pull.owed and not pull.client.awaits(pull.stream):
+        if pull.unanswered and not pull.client.awaits(pull.stream):
             # It has left, and word of that is still behind other messages: nothing further is sent for it.
             self._hung_up(pull)
-        if not pull.owed:
+        if not pull.unanswered:
             self._settle(pull)
         now = self._around.clock.now()
-        event = translate.ended(end, cache, now, not pull.owed, self._names.reports)
+        event = translate.ended_event(end, cache, now, not pull.unanswered, self._names.load_report_names)
         if self._levels is not None and event.load:
-            self._levels.reported(event, self._roster.get(cache))
+            self._levels.record_link_report(event, self._roster.get(cache))
         self._decide(event)
 
-    def _told(self, pull: Open, kind: str) -> None:
+    def _told(self, pull: OpenPull, kind: str) -> None:
         if self._levels is not None:
-            self._levels.answered(pull.event, pull.taken_at, kind)
+            self._levels.record_answer(pull.event, pull.received_at, kind)
 
-    def _trace_end(self, pull: Open, cache: int, kind: str, answer: Answer | None) -> None:
+    def _trace_end(self, pull: OpenPull, cache: int, kind: str, answer: Answer | None) -> None:
         assert self._tracer is not None
         line = self._roster.get(cache)
         why = answer.remark.name.lower() if answer is not None and answer.remark is not i.Remark.NONE else ""
         lag = f"{answer.waited:.0f}" if answer is not None and answer.waited else ""
         now = self._around.clock.now()
-        self._tracer.ended(pull.number, now, line.name if line is not None else str(cache), kind, why, lag)
+        self._tracer.record_relay_end(
+            pull.number, now, line.name if line is not None else str(cache), kind, why, lag
+        )
 
-    def _settle(self, pull: Open, kind: str = "settled") -> None:
+    def _settle(self, pull: OpenPull, kind: str = "settled") -> None:
         """No answer is owed any more: every final answer passes here, just before it is written."""
-        if pull.owed:
-            COUNTERS.see("answer_past_cut_off_ms", self._around.clock.now() - pull.cut_off)
+        if pull.unanswered:
+            COUNTERS.record_max("answer_past_cut_off_ms", self._around.clock.now() - pull.deadline)
             if self._tracer is not None:
-                self._tell(self._tracer.answered(pull.number, self._around.clock.now(), kind))
-        pull.owed = False
-        if pull.out is not None:
+                self._tell(self._tracer.finish_trace(pull.number, self._around.clock.now(), kind))
+        pull.unanswered = False
+        if pull.in_flight is not None:
             # Nothing is sent for a pull after its final answer, nor for a client that has left: what waits in
             # a mailbox or for a connection, or is to go over another one, is not written any more.
-            pull.out.ask.wanted = False
+            pull.in_flight.attempt.wanted = False
         if pull.timer is not None:
             pull.timer.cancel()
         self._by_stream.pop((pull.client, pull.stream), None)
-        if pull.out is None and self._open.pop(pull.number, None) is not None:
+        if pull.in_flight is None and self._open.pop(pull.number, None) is not None:
             self._ids.discard(pull.order.id)
             pull.order.frame.free()
 
-    def _tell(self, told: Told | None) -> None:
+    def _tell(self, told: FinishedTrace | None) -> None:
         if told is None:
             return
         COUNTERS.add("trace.told")
-        say("pull.traced", id=told.id, workload=told.workload, kind=told.kind, took=told.took,
-            quoted=told.quoted, late="late" if told.late else "in time", steps=told.text())  # fmt: skip
+        log_event(
+            "pull.traced",
+            id=told.id,
+            workload=told.workload,
+            kind=told.kind,
+            took=told.duration,
+            quoted=told.target_latency,
+            late="late" if told.late else "in time",
+            steps=told.text(),
+        )
 
-    def peers(self) -> list[tuple[str, dict[str, int]]]:
+    def peer_end_counts(self) -> list[tuple[str, dict[str, int]]]:
         """Tell for each peer how relays to it ended."""
         peers = sorted(self._peers.values(), key=lambda peer: peer.name)
-        return [(peer.name, dict(sorted(peer.ends.items()))) for peer in peers]
+        return [(peer.name, dict(sorted(peer.end_counts.items()))) for peer in peers]
 
-    def end_all(self) -> None:
+    def begin_shutdown(self) -> None:
         """Have all that is owed answered, by the module, and take no more in: the front ends."""
         self._closing = True
-        self._mailbox.push(i.Closing())  # behind the pulls that have come
+        self._mailbox.push(i.ShuttingDown())  # behind the pulls that have come
--- a/cometseam/routing/levels.py
+++ b/cometseam/routing/levels.py
@@ -12,12 +12,12 @@
 
 from cometseam import interface as i
 from cometseam.counters import COUNTERS
-from cometseam.events import say
-from cometseam.levels import Reading, Scheme, keep
-from cometseam.levels.watch import EVERY, Watch
+from cometseam.events import log_event
+from cometseam.levels import LevelPolicy, UtilizationSample, snapshot
+from cometseam.levels.controller import EVALUATION_INTERVAL_MS, LevelController
 from cometseam.logic import Front
-from cometseam.protocol.changelog import Line
-from cometseam.transport.surroundings import Surroundings
+from cometseam.protocol.discovery_events import EndpointEntry
+from cometseam.transport.resources import ProcessResources
 
 KEPT_EVERY = 20_000.0  # ms between two times that a level is kept: it is old after two minutes
 
@@ -27,112 +27,119 @@
     return HdrHistogram(1, 1000, 2)
 
 
-def word(name: str) -> str:
+def counter_label(name: str) -> str:
     """Return a level's name as a part of a counter's: counters are told in one line, apart by spaces."""
     return "-".join(name.split())
 
 
-class Levels:
+class LevelManager:
     """The levels of one front."""
 
     def __init__(
-        self, scheme: Scheme, routes: tuple[tuple[str, int], ...], front: Front, workloads: tuple[str, ...],
-        around: Surroundings, decide: Callable[[i.Event], None], opened: Callable[[], float], seed: int,
-    ) -> None:  # fmt: skip
+        self,
+        scheme: LevelPolicy,
+        routes: tuple[tuple[str, int], ...],
+        front: Front,
+        workloads: tuple[str, ...],
+        around: ProcessResources,
+        decide: Callable[[i.Event], None],
+        opened: Callable[[], float],
+        seed: int,
+    ) -> None:
         self._front, self._around, self._decide, self._opened = front, around, decide, opened
         self._chance = Random(seed ^ 0x1E7E15)
         self._looked = self._kept = 0.0
-        self._eased = front.easing.shed
+        self._eased = front.load_shedder.shed_count
         self._since = around.clock.now()
         level = self._begin(scheme)
         self._workloads = workloads
-        self._watch = Watch(scheme, routes, workloads, self._chance, histogram, level)
+        self._watch = LevelController(scheme, routes, workloads, self._chance, histogram, level)
 
-    def _begin(self, scheme: Scheme) -> int:
+    def _begin(self, scheme: LevelPolicy) -> int:
         """Return the level that was kept, or full service."""
         if not scheme.keep:
             return 0
         try:
-            kept = keep.read(Path(scheme.keep), self._around.clock.now())
-        except keep.Unkept as error:
-            say("level.not_kept", why=str(error))
+            kept = snapshot.read(Path(scheme.keep), self._around.clock.now())
+        except snapshot.SnapshotError as error:
+            log_event("level.not_kept", why=str(error))
             return 0
         if kept is None:
             return 0
-        level = scheme.place(kept[0])
+        level = scheme.level_number(kept[0])
         if level is None:
-            say("level.not_kept", why=f"no level has the name {kept[0]!r} any more")
+            log_event("level.not_kept", why=f"no level has the name {kept[0]!r} any more")
             return 0
         self._since = kept[1]
-        say("level.found", level=kept[0])
+        log_event("level.found", level=kept[0])
         return level
 
-    def replace(self, scheme: Scheme, routes: tuple[tuple[str, int], ...]) -> None:
+    def replace(self, scheme: LevelPolicy, routes: tuple[tuple[str, int], ...]) -> None:
         """Go on under another scheme."""
-        before = self._watch.name
-        self._watch.replaced(scheme, routes, self._chance)
-        if self._watch.name != before:
-            say("level.mapped", before=before, after=self._watch.name)
+        before = self._watch.level_name
+        self._watch.replace_policy(scheme, routes, self._chance)
+        if self._watch.level_name != before:
+            log_event("level.mapped", before=before, after=self._watch.level_name)
 
-    def end(self) -> None:
+    def disable(self) -> None:
         """Leave nothing out any more: the file has no levels."""
-        if self._watch.machine.level:
-            say("level.mapped", before=self._watch.name, after="full")
-        self._decide(i.Eased())
+        if self._watch.state_machine.level:
+            log_event("level.mapped", before=self._watch.level_name, after="full")
+        self._decide(i.ServiceLevel())
 
-    def end_process(self) -> None:
+    def save_level(self) -> None:
         """Keep the level for the next start."""
         self._keep(self._around.clock.now())
 
-    def reported(self, event: i.Ended, line: Line | None) -> None:
+    def record_link_report(self, event: i.RelayEnded, line: EndpointEntry | None) -> None:
         """Take in how full the zone's link is, where a cache of the zone tells it."""
         settings = self._front.settings
         upper = (settings.parent_kind, settings.origin_kind)
         if line is None or line.zone != settings.zone or line.kind in upper:
             return
-        if settings.link_report < len(event.load):
-            self._watch.signals.link(self._around.clock.now(), event.load[settings.link_report])
+        if settings.link_load_index < len(event.load):
+            self._watch.signals.record_link(self._around.clock.now(), event.load[settings.link_load_index])
 
-    def answered(self, pull: i.Pull, taken_at: float, kind: str) -> None:
+    def record_answer(self, pull: i.Pull, taken_at: float, kind: str) -> None:
         """Take in a final answer; what the level itself shed says nothing of the trouble."""
-        if kind == "shed" and self._front.easing.shed != self._eased:
-            self._eased = self._front.easing.shed
-            COUNTERS.add(f"levels.shed.{word(self._watch.name)}")
+        if kind == "shed" and self._front.load_shedder.shed_count != self._eased:
+            self._eased = self._front.load_shedder.shed_count
+            COUNTERS.add(f"levels.shed.{counter_label(self._watch.level_name)}")
             return
         settings, now = self._front.settings, self._around.clock.now()
         rules = settings.workloads[pull.workload]
-        sending = pull.size_kb / settings.pace if settings.pace else 0.0
-        quoted = rules.quoted + rules.stretch * sending
-        self._watch.signals.answered(now, pull.workload, kind, now - taken_at, quoted)
+        sending = pull.size_kb / settings.stream_rate if settings.stream_rate else 0.0
+        quoted = rules.target_latency + rules.target_latency_factor * sending
+        self._watch.signals.record_answer(now, pull.workload, kind, now - taken_at, quoted)
 
-    def look(self, lag: float) -> None:
+    def update(self, lag: float) -> None:
         """Take in how late the loop is, and every now and then look whether the level changes."""
         now = self._around.clock.now()
-        self._watch.signals.lag(now, lag)
-        if now - self._looked < EVERY:
+        self._watch.signals.record_lag(now, lag)
+        if now - self._looked < EVALUATION_INTERVAL_MS:
             return
         self._looked = now
         front = self._front
-        budgets = list(front.plans.budgets.values())
+        budgets = list(front.active_plans.budgets.values())
         spent = sum(not budget.has_room(now) for budget in budgets) / len(budgets) if budgets else None
         pool = self._around.pool
-        fills = front.fills.out / max(front.fills.size, 1.0)
-        reading = Reading(fills, pool.out / pool.most, self._opened(), spent)
+        fills = front.fill_limit.in_flight / max(front.fill_limit.size, 1.0)
+        reading = UtilizationSample(fills, pool.in_use / pool.max_buffers, self._opened(), spent)
         change, eased = self._watch.step(now, reading)
         if change is not None:
-            scheme = self._watch.machine.scheme
+            scheme = self._watch.state_machine.policy
             COUNTERS.add("levels.changes")
             known = {name: value for name, value in change.values.items() if value is not None}
-            before, after = scheme.name(change.before), scheme.name(change.after)
-            why, stayed = change.why, change.stayed
-            say("level.changed", before=before, after=after, why=why, values=known, stayed=stayed)
+            before, after = scheme.level_name(change.before), scheme.level_name(change.after)
+            why, stayed = change.reason, change.previous_duration
+            log_event("level.changed", before=before, after=after, why=why, values=known, stayed=stayed)
             self._since = now
         if eased is not None:
             self._decide(eased)
-        for what, count in front.easing.counts.items():
+        for what, count in front.load_shedder.skipped_counts.items():
             COUNTERS.counts[f"levels.left_out.{self._named(what)}"] = count
-        for name, time in self._watch.times().items():
-            COUNTERS.most[f"levels.s_in.{word(name)}"] = time
+        for name, time in self._watch.seconds_by_level().items():
+            COUNTERS.maxima[f"levels.s_in.{counter_label(name)}"] = time
         if change is not None or now - self._kept >= KEPT_EVERY:
             self._keep(now)
 
@@ -143,11 +150,11 @@
 
     def _keep(self, now: float) -> None:
         self._kept = now
-        path = self._watch.machine.scheme.keep
+        path = self._watch.state_machine.policy.keep
         if not path:
             return
         try:
-            keep.write(Path(path), self._watch.name, self._since, now)
+            snapshot.write(Path(path), self._watch.level_name, self._since, now)
         except OSError as error:
             COUNTERS.add("levels.not_kept")
-            say("level.not_kept", why=f"{path}: {error.strerror}")
+            log_event("level.not_kept", why=f"{path}: {error.strerror}")
--- a/cometseam/routing/messages.py
+++ b/cometseam/routing/messages.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 
 from cometseam import interface as i
-from cometseam.operator import Compiled
-from cometseam.protocol.frames import Order
-from cometseam.transport.attempt import End
+from cometseam.operator import CompiledConfig
+from cometseam.protocol.frames import PullRequest
+from cometseam.transport.attempt import AttemptEnded
 from cometseam.transport.client import Client
 
 
@@ -15,8 +15,8 @@
 
     client: Client
     stream: int
-    order: Order
-    at: float
+    order: PullRequest
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -28,31 +28,40 @@
 
 
 @dataclass(slots=True)
-class Replan:
+class PlansUpdated:
     """The operator's file has changed."""
 
-    compiled: Compiled
+    compiled: CompiledConfig
 
 
 @dataclass(slots=True)
-class Judge:
-    """The fleet's verdict on a cache, by name; see `interface.Judged`."""
+class CacheHealthVerdict:
+    """The fleet's verdict on a cache, by name; see `interface.HealthVerdict`."""
 
     cache: str
     bad: bool
-    rest: float
+    ttl: float
     age: float
 
 
 @dataclass(slots=True)
-class Grant:
-    """This front's part of what a cold cache bears, or of relays out there; see `interface.Granted`."""
+class CacheCapacityLease:
+    """This front's part of what a cold cache bears, or of relays out there; see `interface.CapacityLease`."""
 
     cache: str
-    part: float
-    lasts: float
-    relays: bool
-
-
-Fleet = Judge | Grant | i.Capped | i.Allotted
-Message = RequestReceived | ClientGone | End | i.Rang | i.Lagged | i.Closing | Replan | Fleet
+    share: float
+    ttl: float
+    for_relays: bool
+
+
+Fleet = CacheHealthVerdict | CacheCapacityLease | i.ConcurrencyCap | i.RetryBudgetShare
+Message = (
+    RequestReceived
+    | ClientGone
+    | AttemptEnded
+    | i.TimerFired
+    | i.LoopLagged
+    | i.ShuttingDown
+    | PlansUpdated
+    | Fleet
+)
--- a/cometseam/routing/translate.py
+++ b/cometseam/routing/translate.py
@@ -3,46 +3,49 @@
 from hashlib import blake2b
 
 from cometseam import interface as i
-from cometseam.protocol.changelog import Line, Listing, Purge
-from cometseam.protocol.frames import Order
+from cometseam.protocol.discovery_events import EndpointEntry, EndpointList, Purge
+from cometseam.protocol.frames import PullRequest
 from cometseam.protocol.resp import Command
-from cometseam.timing import Sight, Table, whole_size
-from cometseam.timing.table import IPV4
-from cometseam.transport.attempt import End, How
+from cometseam.timing import RouteKey, RouteTable, size_in_bytes
+from cometseam.timing.table import IPV4_MAPPED_BASE
+from cometseam.transport.attempt import AttemptEnded, EndReason
 
 HOWS = {
-    How.UNSENT: i.Outcome.MOOT, How.UNCONNECTED: i.Outcome.CONNECT_FAILED, How.BROKEN: i.Outcome.RESET,
-    How.TIMED_OUT: i.Outcome.TIMEOUT, How.GIVEN_UP: i.Outcome.CANCELLED,
-}  # fmt: skip
+    EndReason.UNSENT: i.Outcome.NOT_SENT,
+    EndReason.UNCONNECTED: i.Outcome.CONNECT_FAILED,
+    EndReason.BROKEN: i.Outcome.RESET,
+    EndReason.TIMED_OUT: i.Outcome.TIMEOUT,
+    EndReason.GIVEN_UP: i.Outcome.CANCELLED,
+}
 
 
 # ms: what discovery tells while the front runs happened no longer ago than that. Stamps are Unix times of
 # other machines; where this one's wall clock was wrong when the process started, an endpoint's start is so
 # believed to be later than it was (colder), and a purge too (more copies are too old): never the reverse.
-NEWS_AGE = 10_000.0
+MAX_LIVE_EVENT_AGE_MS = 10_000.0
 
 
-def instant(stamp: float, now: float, is_news: bool) -> float:
+def local_event_time(stamp: float, now: float, is_news: bool) -> float:
     """Return when something happened, on the scale of `now`, from the Unix time (ms) that its event gives."""
-    return max(min(stamp, now), now - NEWS_AGE) if is_news else min(stamp, now)
+    return max(min(stamp, now), now - MAX_LIVE_EVENT_AGE_MS) if is_news else min(stamp, now)
 
 
-class Roster:
+class EndpointTable:
     """The caches by number. It holds what the list holds: a cache that has gone leaves."""
 
     def __init__(self) -> None:
-        self._lines: dict[int, Line] = {}
+        self._lines: dict[int, EndpointEntry] = {}
         self._numbers: dict[str, int] = {}
         self._started: dict[int, tuple[float, float]] = {}  # by number: its start's stamp, and the instant
 
     def __len__(self) -> int:
         return len(self._lines)
 
-    def get(self, cache: int) -> Line | None:
+    def get(self, cache: int) -> EndpointEntry | None:
         """Return a cache's line."""
         return self._lines.get(cache)
 
-    def ready(self, cache: int) -> bool:
+    def is_ready(self, cache: int) -> bool:
         """Tell whether the list has a cache as ready."""
         line = self._lines.get(cache)
         return line is not None and line.lifecycle is i.Lifecycle.READY
@@ -80,10 +83,10 @@
             return 0.0
         known = self._started.get(number)
         if known is None or known[0] != stamp:
-            known = self._started[number] = (stamp, instant(stamp, now, is_news))
+            known = self._started[number] = (stamp, local_event_time(stamp, now, is_news))
         return known[1]
 
-    def take(self, listing: Listing, now: float, is_news: bool = True) -> i.Members:
+    def apply_listing(self, listing: EndpointList, now: float, is_news: bool = True) -> i.CacheListUpdate:
         """Take in a list, or its changes.
 
         Args:
@@ -91,11 +94,11 @@
             now: the clock's time.
             is_news: it was told while the front ran, and is no list of the start.
         """
-        if listing.whole:
+        if listing.is_snapshot:
             self._lines.clear()
             self._numbers.clear()
         entries = []
-        for line in listing.lines:
+        for line in listing.entries:
             number = self._number(line.name)
             if line.lifecycle is i.Lifecycle.GONE:
                 self._lines.pop(number, None)
@@ -105,55 +108,80 @@
                 self._lines[number], self._numbers[line.name] = line, number
             started = self._start(number, line.ready_at, now, is_news)
             entries.append(
-                i.Listed(number, line.lifecycle, started, line.cell, line.zone, line.kind, line.weight)
+                i.CacheEntry(number, line.lifecycle, started, line.cell, line.zone, line.kind, line.weight)
             )
-        if listing.whole:
+        if listing.is_snapshot:
             self._started = {each: at for each, at in self._started.items() if each in self._lines}
-        return i.Members(i.ListKind.FULL if listing.whole else i.ListKind.CHANGES, tuple(entries))
+        return i.CacheListUpdate(
+            i.ListUpdateKind.FULL if listing.is_snapshot else i.ListUpdateKind.CHANGES, tuple(entries)
+        )
 
 
-def purged(purge: Purge, now: float, is_news: bool = True) -> i.Purged:
+def purge_event(purge: Purge, now: float, is_news: bool = True) -> i.Purged:
     """Return a purge as an event."""
-    return i.Purged(purge.object, purge.group, now - instant(purge.time, now, is_news))
+    return i.Purged(purge.object, purge.group, now - local_event_time(purge.time, now, is_news))
 
 
-def pull(number: int, order: Order, workload: int, left: float) -> i.Pull:
+def pull_event(number: int, order: PullRequest, workload: int, left: float) -> i.Pull:
     """Return a client's order as an event."""
     return i.Pull(number, int(order.object, 16), order.part, workload, left, False, order.size_kb,
                   order.group)  # fmt: skip
 
 
-def plan(event: i.Pull, table: Table, address: int) -> None:
+def assign_plan(event: i.Pull, table: RouteTable, address: int) -> None:
     """Give a pull the plan of the first route that matches it, and the network of its client."""
     route = table.find(
-        Sight(event.workload, event.object, event.group, event.part, whole_size(event.size_kb), address)
+        RouteKey(event.workload, event.object, event.group, event.part, size_in_bytes(event.size_kb), address)
     )
-    event.plan = table.routes[route][0] if route >= 0 else -1
-    event.network = table.network(address)
+    event.plan_index = table.routes[route][0] if route >= 0 else -1
+    event.network_index = table.find_network(address)
 
 
 def network_of(address: int) -> int:
     """Return the network of a client, for fairness: its /24, or its /48 with IPv6."""
-    return address >> 8 if address >> 32 == IPV4 >> 32 else address >> 80
+    return address >> 8 if address >> 32 == IPV4_MAPPED_BASE >> 32 else address >> 80
 
 
-def ended(end: End, cache: int, now: float, closed: bool, reports: tuple[str, ...]) -> i.Ended:
+def ended_event(
+    end: AttemptEnded, cache: int, now: float, closed: bool, reports: tuple[str, ...]
+) -> i.RelayEnded:
     """Return a relay's end as an event."""
-    ask, answer = end.ask, end.answer
-    took = now - ask.asked_at
+    ask, answer = end.attempt, end.answer
+    took = now - ask.queued_at
     if answer is None:
-        outcome = HOWS[end.how]
-        return i.Ended(ask.pull, ask.relay, cache, outcome, i.Remark.NONE, took, 0.0, closed, ())
+        outcome = HOWS[end.reason]
+        return i.RelayEnded(
+            ask.pull_number, ask.relay_index, cache, outcome, i.Remark.NONE, took, 0.0, closed, ()
+        )
     told = answer.load or {}
     load = tuple(told[name] for name in reports) if all(name in told for name in reports) else ()
-    return i.Ended(ask.pull, ask.relay, cache, answer.outcome, answer.remark, took, answer.waited, closed,
-                   load)  # fmt: skip
+    return i.RelayEnded(
+        ask.pull_number,
+        ask.relay_index,
+        cache,
+        answer.outcome,
+        answer.remark,
+        took,
+        answer.waited,
+        closed,
+        load,
+    )
 
 
-def command(relay: i.Relay, order: Order, source: str) -> Command:
+def relay_command(relay: i.Relay, order: PullRequest, source: str) -> Command:
     """Return what is written for a relay."""
     return Command(
-        order.id, order.workload, order.object, order.part, source, relay.rank, relay.oldest, relay.join,
-        relay.only_held, relay.parent_keeps_none, relay.renew, order.held_tag,
-        order.mark,
-    )  # fmt: skip
+        order.id,
+        order.workload,
+        order.object,
+        order.part,
+        source,
+        relay.rank,
+        relay.max_age,
+        relay.join_fill,
+        relay.only_cached,
+        relay.parent_no_store,
+        relay.renew,
+        order.held_tag,
+        order.idempotency_key,
+    )
--- a/cometseam/serving.py
+++ b/cometseam/serving.py
@@ -5,30 +5,30 @@
 import anyio
 
 from cometseam.config import OPERATOR_VARIABLE, read_config
-from cometseam.events import to_stderr
-from cometseam.operator import Compiled, Refused
+from cometseam.events import configure_logging
+from cometseam.json_section import FieldError
+from cometseam.operator import CompiledConfig, OperatorFileError
 from cometseam.program import run
-from cometseam.reading import Faulty
 
 
 def serve() -> int:
     """Run until SIGTERM; what can't be used of the configuration ends it with a line each and status 2."""
-    compiled: Compiled | None = None
+    compiled: CompiledConfig | None = None
     try:
         config = read_config()
-    except Faulty as error:
+    except FieldError as error:
         print(f"cometseam: configuration: {error}", file=sys.stderr)
         return 2
-    if config.operator is not None:
-        from cometseam.operator.load import for_front
+    if config.operator_file is not None:
+        from cometseam.operator.load import load_for_front
 
         try:
-            compiled = for_front(config.operator, config.told)
-        except Refused as refused:
+            compiled = load_for_front(config.operator_file, config.raw_settings)
+        except OperatorFileError as refused:
             for fault in refused.faults:
                 print(f"cometseam: {OPERATOR_VARIABLE}: {fault}", file=sys.stderr)
             return 2
-    to_stderr(config.log_level, config.log_form)
+    configure_logging(config.log_level, config.log_format)
     try:
         anyio.run(run, config, compiled, backend_options={"use_uvloop": True})
     except OSError as error:
--- a/cometseam/signals.py
+++ b/cometseam/signals.py
@@ -11,20 +11,20 @@
 
 import anyio
 
-FOLLOWED = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)
 LOOK = 0.02  # s between two looks for a signal
 
 _came: deque[int] = deque()
 
 
-def hold() -> None:
+def install_handlers() -> None:
     """Take note of signals from now on; called again it changes nothing."""
-    for number in FOLLOWED:
+    for number in HANDLED_SIGNALS:
         signal.signal(number, _note)
 
 
-async def follow() -> AsyncIterator[int]:
-    """Tell each signal that has come since `hold`, in order, for ever."""
+async def received_signals() -> AsyncIterator[int]:
+    """Tell each signal that has come since `install_handlers`, in order, for ever."""
     while True:
         while _came:
             yield _came.popleft()
--- a/cometseam/soak/clients.py
+++ b/cometseam/soak/clients.py
@@ -11,7 +11,7 @@
 from anyio.abc import SocketStream
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from cometseam.protocol.frames import Type, write_fields, write_frame
+from cometseam.protocol.frames import FrameType, write_fields, write_frame
 from cometseam.soak.endpoints import BROKEN
 from cometseam.soak.history import Abandoned, History, Replied, Requested
 
@@ -112,7 +112,7 @@
             "verb": asked.name, "txn": name, "limit": f"{limit * 1000.0:.0f}", "item": f"{item:016x}",
             "nth": "0", "batch": str(group), "ram": "40",
         }  # fmt: skip
-        data = write_frame(Type.PULL, stream, write_fields(fields))
+        data = write_frame(FrameType.PULL, stream, write_fields(fields))
         request = Requested(time.monotonic(), self._target.number, life, name, limit, group, asked.name)
         return request, data
 
@@ -123,10 +123,10 @@
                 head = await reader.receive_exactly(9)
                 length, kind, number = struct.unpack(">IBI", head)
                 payload = await reader.receive_exactly(length - 5) if length > 5 else b""
-                if kind == Type.ANSWER and number:
+                if kind == FrameType.ANSWER and number:
                     self._open.pop(number, None)
                     self._history.add(Replied(time.monotonic(), self._names[number], payload[0]))
-                elif kind == Type.NO_MORE:
+                elif kind == FrameType.NO_MORE:
                     self._may_send = self._is_stubborn
         except BROKEN:
             scope.cancel()
--- a/cometseam/soak/endpoints.py
+++ b/cometseam/soak/endpoints.py
@@ -10,7 +10,7 @@
 from anyio.abc import SocketAttribute, SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from cometseam.protocol import Malformed
+from cometseam.protocol import ProtocolError
 from cometseam.protocol.resp import read_fields
 from cometseam.soak.history import Arrived, Finished, History, Requested
 
@@ -59,7 +59,7 @@
                 while True:
                     parts, first_at = await _read_command(reader)
                     self._handle(tasks, stream, parts, first_at)
-        except* (*BROKEN, Malformed, ValueError):
+        except* (*BROKEN, ProtocolError, ValueError):
             pass
         finally:
             del self._streams[stream]
--- a/cometseam/timing/sets.py
+++ b/cometseam/timing/intervals.py
@@ -4,12 +4,12 @@
 whether earlier routes leave anything to a later one.
 """
 
-from cometseam.timing.table import ENDS, Box, Interval
+from cometseam.timing.table import AXIS_ENDS, Box, Interval
 
 Intervals = tuple[Interval, ...]
 
 
-def joined(intervals: list[Interval]) -> Intervals:
+def union(intervals: list[Interval]) -> Intervals:
     """Return the union: in order, apart, none empty."""
     out: list[Interval] = []
     for low, high in sorted(interval for interval in intervals if interval[0] < interval[1]):
@@ -20,7 +20,7 @@
     return tuple(out)
 
 
-def common(one: Intervals, other: Intervals) -> Intervals:
+def intersection(one: Intervals, other: Intervals) -> Intervals:
     """Return what both hold."""
     out: list[Interval] = []
     i = j = 0
@@ -35,7 +35,7 @@
     return tuple(out)
 
 
-def without(one: Intervals, other: Intervals) -> Intervals:
+def difference(one: Intervals, other: Intervals) -> Intervals:
     """Return what the first holds and the second does not."""
     out: list[Interval] = []
     j = 0
@@ -53,32 +53,32 @@
     return tuple(out)
 
 
-def whole() -> Box:
+def universal_box() -> Box:
     """Return the box that matches every pull."""
-    return tuple(((0, end),) for end in ENDS)
+    return tuple(((0, end),) for end in AXIS_ENDS)
 
 
-def meet(one: Box, other: Box) -> Box | None:
+def intersect_boxes(one: Box, other: Box) -> Box | None:
     """Return the box that both match, if there is one."""
     axes = []
     for mine, theirs in zip(one, other, strict=True):
-        both = mine if mine == theirs else common(mine, theirs)
+        both = mine if mine == theirs else intersection(mine, theirs)
         if not both:
             return None
         axes.append(both)
     return tuple(axes)
 
 
-def cut_out(box: Box, hole: Box) -> list[Box]:
+def subtract_box(box: Box, hole: Box) -> list[Box]:
     """Return boxes, apart from each other, that together match what `box` does and `hole` does not."""
-    if meet(box, hole) is None:
+    if intersect_boxes(box, hole) is None:
         return [box]
     left: list[Box] = []
     for axis in range(len(box)):
-        rest = without(box[axis], hole[axis])
+        rest = difference(box[axis], hole[axis])
         if rest:
             left.append((*box[:axis], rest, *box[axis + 1 :]))
-        box = (*box[:axis], common(box[axis], hole[axis]), *box[axis + 1 :])
+        box = (*box[:axis], intersection(box[axis], hole[axis]), *box[axis + 1 :])
     return left
 
 
@@ -87,7 +87,7 @@
     for place in range(len(cover) - 1, -1, -1):
         rest, pieces = cover[:place] + cover[place + 1 :], [box]
         for _, hole in rest:
-            pieces = [part for piece in pieces for part in cut_out(piece, hole)]
+            pieces = [part for piece in pieces for part in subtract_box(piece, hole)]
         if not pieces:
             cover = rest
     return [number for number, _ in cover]
@@ -104,7 +104,7 @@
         left: list[Box] = []
         touched = False
         for piece in pieces:
-            parts = cut_out(piece, hole)
+            parts = subtract_box(piece, hole)
             touched = touched or parts != [piece]
             left += parts
         if touched:
--- a/cometseam/timing/budget.py
+++ b/cometseam/timing/retry_budget.py
@@ -10,33 +10,33 @@
 
 from collections import deque
 
-from cometseam.interface import Allotted, Allowance, Plan, Plans
-from cometseam.timing.pace import NO_PLAN
-from cometseam.timing.part import Part
+from cometseam.interface import Plan, Plans, RetryBudgetShare, RetryBudgetTerms
+from cometseam.timing.capacity_share import CapacityShare
+from cometseam.timing.retry_policy import NO_PLAN
 
-SLICES = 20  # of a window: what is older than a window leaves in steps of a twentieth
+WINDOW_SLICES = 20  # of a window: what is older than a window leaves in steps of a twentieth
 
 
-class Budget:
+class RetryBudget:
     """Counts first and further relays over the last window.
 
     Its table holds one entry a slice of the window in which something was counted; each leaves when it is
     older than the window.
     """
 
-    def __init__(self, terms: Allowance, fronts: int = 1) -> None:
+    def __init__(self, terms: RetryBudgetTerms, fronts: int = 1) -> None:
         """`fronts`: how many share what the terms allow the fleet."""
-        self.terms, self.part = terms, Part(1.0 / max(fronts, 1))
-        self._slice = terms.window / SLICES
+        self.terms, self.share = terms, CapacityShare(1.0 / max(fronts, 1))
+        self._slice = terms.window / WINDOW_SLICES
         self._counts: deque[list[float]] = deque()  # [its start, first relays, further relays]
-        self.first = self.further = 0
+        self.first_relays = self.further_relays = 0
 
     def _roll(self, now: float) -> None:
         # A slice leaves when all of it is older: what was counted late in it must not leave too early.
         while self._counts and self._counts[0][0] + self._slice <= now - self.terms.window:
             _, first, further = self._counts.popleft()
-            self.first -= int(first)
-            self.further -= int(further)
+            self.first_relays -= int(first)
+            self.further_relays -= int(further)
 
     def _now(self, now: float) -> list[float]:
         self._roll(now)
@@ -46,80 +46,82 @@
         return self._counts[-1]
 
     @property
-    def allowed(self) -> float:
+    def max_further_relays(self) -> float:
         """Tell how many further relays a window may hold, by what was last counted."""
-        return self.terms.floor + self.terms.share * self.first
+        return self.terms.floor + self.terms.share * self.first_relays
 
     def has_room(self, now: float) -> bool:
         """Tell whether one further relay may go at this time (ms)."""
         self._roll(now)
-        if self.further + 1 > self.allowed:
+        if self.further_relays + 1 > self.max_further_relays:
             return False
         fleet = self.terms.fleet
-        return not fleet or self.part.fits(self.further + 1, fleet, now)
+        return not fleet or self.share.fits(self.further_relays + 1, fleet, now)
 
-    def count(self, now: float, further: bool) -> None:
+    def record_relay(self, now: float, further: bool) -> None:
         """Count a relay that is sent: the first of a pull, or one after a failure."""
         entry = self._now(now)
         if further:
             entry[2] += 1
-            self.further += 1
+            self.further_relays += 1
         else:
             entry[1] += 1
-            self.first += 1
+            self.first_relays += 1
 
 
-class Account:
+class PullBudgets:
     """The budgets that one pull draws on: those of its route, of its client's network and of the front."""
 
     __slots__ = ("budgets",)
 
-    def __init__(self, budgets: tuple[Budget, ...]) -> None:
+    def __init__(self, budgets: tuple[RetryBudget, ...]) -> None:
         self.budgets = budgets
 
     def has_room(self, now: float) -> bool:
         """Tell whether each of them has room for one further relay."""
         return all(budget.has_room(now) for budget in self.budgets)
 
-    def count(self, now: float, further: bool, before: int) -> None:
+    def record_relay(self, now: float, further: bool, before: int) -> None:
         """Count a relay in each of them: a further one, or the first; a fill after a look is neither.
 
         `further`: the pull has failed before; `before`: relays of this pull that were sent.
         """
         if further or not before:
             for budget in self.budgets:
-                budget.count(now, further)
+                budget.record_relay(now, further)
 
 
-FREE = Account(())
+FREE = PullBudgets(())
 
 
-class Ledger:
+class ActivePlans:
     """The plans in force and their budgets. New plans empty it of the budgets that they no longer name."""
 
-    budgets: dict[Allowance, Budget]
+    budgets: dict[RetryBudgetTerms, RetryBudget]
 
-    def __init__(self, plans: Plans, before: "Ledger | None" = None, fronts: int = 1) -> None:
+    def __init__(self, plans: Plans, before: "ActivePlans | None" = None, fronts: int = 1) -> None:
         """Take over the counts of each budget whose terms are as before: a reload grants nothing anew.
 
         `fronts`: how many share what a budget allows the fleet.
         """
         self._plans = plans
-        terms = [plans.front, *plans.networks, *(plan.allowance for plan in plans.plans)]
-        known: dict[Allowance, Budget] = before.budgets if before is not None else {}
-        self.budgets = {term: known.get(term) or Budget(term, fronts) for term in terms if term is not None}
+        terms = [plans.front_budget, *plans.network_budgets, *(plan.allowance for plan in plans.plans)]
+        known: dict[RetryBudgetTerms, RetryBudget] = before.budgets if before is not None else {}
+        self.budgets = {
+            term: known.get(term) or RetryBudget(term, fronts) for term in terms if term is not None
+        }
 
-    def take(self, told: Allotted, now: float) -> None:
+    def apply_share(self, told: RetryBudgetShare, now: float) -> None:
         """Take in this front's part of what the budget of that name allows the fleet."""
         for terms, budget in self.budgets.items():
-            if terms.name == told.budget:
-                budget.part.take(told.part, told.lasts, now)
+            if terms.name == told.budget_name:
+                budget.share.apply_lease(told.share, told.ttl, now)
 
-    def of(self, plan: int, network: int) -> tuple[Plan, Account]:
+    def plan_and_budgets(self, plan: int, network: int) -> tuple[Plan, PullBudgets]:
         """Return the plan of a pull and what it draws on; without a plan nothing is counted."""
         if not 0 <= plan < len(self._plans.plans):
             return NO_PLAN, FREE
-        mine, networks = self._plans.plans[plan], self._plans.networks
+        mine, networks = self._plans.plans[plan], self._plans.network_budgets
         theirs = networks[network] if 0 <= network < len(networks) else None
-        terms = dict.fromkeys(t for t in (self._plans.front, theirs, mine.allowance) if t is not None)
-        return mine, Account(tuple(self.budgets[term] for term in terms)) if terms else FREE
+        terms = dict.fromkeys(t for t in (self._plans.front_budget, theirs, mine.allowance) if t is not None)
+        return mine, PullBudgets(tuple(self.budgets[term] for term in terms)) if terms else FREE
--- a/cometseam/timing/pace.py
+++ b/cometseam/timing/retry_policy.py
@@ -7,43 +7,43 @@
 from math import inf
 from random import Random
 
-from cometseam.interface import Kind, Outcome, Plan, Span
+from cometseam.interface import Outcome, Plan, RelayKind, ScaledDuration
 
 NO_PLAN = Plan()
-ALWAYS = (Outcome.MOOT,)  # it never left the front: that is no failure of the pull's
+ALWAYS = (Outcome.NOT_SENT,)  # it never left the front: that is no failure of the pull's
 
 
-def spread(span: Span, sending: float) -> float:
+def scaled_duration(span: ScaledDuration, sending: float) -> float:
     """Return the time for a pull that takes `sending` ms to send."""
     return span.base + span.part * sending
 
 
-def time_out(plan: Plan, kind: Kind, further: bool, sending: float, without: float) -> float:
+def relay_timeout(plan: Plan, kind: RelayKind, further: bool, sending: float, without: float) -> float:
     """Return the time-out of a relay, `without` where the plan sets none.
 
     `further`: the pull has failed before. A further relay inherits the first one's time.
     """
     first, later = plan.time_outs[kind]
     span = later if further and later is not None else first
-    return without if span is None else spread(span, sending)
+    return without if span is None else scaled_duration(span, sending)
 
 
-def times(
+def timeout_and_hedge_delay(
     plan: Plan, looks: bool, direct: bool, further: bool, sending: float, without: float, left: float
 ) -> tuple[float, float]:
     """Return a relay's time-out and after what time a second copy may go; `without`: where none is set."""
     if plan is NO_PLAN:
         return min(left, without), inf
-    kind = Kind.LOOK if looks else Kind.DIRECT if direct else Kind.FILL
-    return min(left, time_out(plan, kind, further, sending, without)), second_after(plan, sending)
+    kind = RelayKind.LOOK if looks else RelayKind.DIRECT if direct else RelayKind.FILL
+    return min(left, relay_timeout(plan, kind, further, sending, without)), hedge_delay(plan, sending)
 
 
-def second_after(plan: Plan, sending: float) -> float:
+def hedge_delay(plan: Plan, sending: float) -> float:
     """Return after what time a relay that is out is given up for another, where one may go; or never."""
-    return inf if plan.second is None else spread(plan.second, sending)
+    return inf if plan.second is None else scaled_duration(plan.second, sending)
 
 
-def wait(plan: Plan, failures: int, chance: Random) -> float:
+def retry_wait(plan: Plan, failures: int, chance: Random) -> float:
     """Return the wait after so many failures (1 up); `chance` is drawn from only where it is used."""
     if not plan.wait:
         return 0.0
@@ -52,12 +52,12 @@
     return plain * (1.0 + plan.jitter * chance.random()) if plan.jitter else plain
 
 
-def longest_wait(plan: Plan, failures: int) -> float:
+def max_retry_wait(plan: Plan, failures: int) -> float:
     """Return the upper end of `wait`, jitter included."""
     return min(plan.wait * plan.growth ** min(failures - 1, 64), plan.longest_wait) * (1.0 + plan.jitter)
 
 
-def goes_on(plan: Plan, failures: int, outcome: Outcome) -> bool:
+def may_retry(plan: Plan, failures: int, outcome: Outcome) -> bool:
     """Tell whether a pull that has failed so often, and now like this, is worth a further relay."""
     if outcome in ALWAYS:
         return True
