--- a/cometseam/timing/table.py
+++ b/cometseam/timing/table.py
@@ -1,8 +1,8 @@
 """Finds the first route that matches a pull: decision trees over the axes that a route may name.
 
-The trees are grown beside the front (`grow`), by the process that checks the file, and comes as flat lists. A
-look-up walks down one path and compares the few routes of one leaf in the order of the file: the first
-match wins.
+The trees are grown beside the front (`tree_builder`), by the process that checks the file, and comes as flat
+lists. A look-up walks down one path and compares the few routes of one leaf in the order of the file: the
+first match wins.
 """
 
 from bisect import bisect_right
@@ -11,16 +11,16 @@
 AXES = ("workload", "object", "group", "part", "size", "address")
 # Of each axis one past its largest value. Objects are 64-bit numbers, sizes bytes, addresses IPv6 with
 # IPv4 mapped.
-ENDS = (1 << 16, 1 << 64, 1 << 16, 1 << 32, 1 << 48, 1 << 128)
-IPV4 = 0xFFFF << 32  # where ::ffff:0:0/96 begins
-KB = 1024.0
+AXIS_ENDS = (1 << 16, 1 << 64, 1 << 16, 1 << 32, 1 << 48, 1 << 128)
+IPV4_MAPPED_BASE = 0xFFFF << 32  # where ::ffff:0:0/96 begins
+BYTES_PER_KB = 1024.0
 
 Interval = tuple[int, int]  # from, and one past the last
 Node = tuple[int, tuple[int, ...], tuple[int, ...]]
 Box = tuple[tuple[Interval, ...], ...]  # by axis, in order and apart; empty: it matches nothing
 
 
-class Sight(NamedTuple):
+class RouteKey(NamedTuple):
     """What a pull shows to routes: a whole number on each axis."""
 
     workload: int
@@ -31,7 +31,7 @@
     address: int
 
 
-def whole_address(text: str) -> int:
+def address_number(text: str) -> int:
     """Return an address as a number on its axis; what is no address is 0, which no set should hold."""
     if ":" not in text:
         number = 0
@@ -42,7 +42,7 @@
             if not (part.isascii() and part.isdigit() and int(part) < 256):
                 return 0
             number = number << 8 | int(part)
-        return IPV4 | number
+        return IPV4_MAPPED_BASE | number
     import ipaddress  # most installations speak IPv4 to their clients
 
     try:
@@ -51,17 +51,17 @@
         return 0
 
 
-def whole_size(size_kb: float) -> int:
+def size_in_bytes(size_kb: float) -> int:
     """Return a size in KB as a number on its axis, bytes."""
-    return min(max(int(size_kb * KB), 0), ENDS[4] - 1)
+    return min(max(int(size_kb * BYTES_PER_KB), 0), AXIS_ENDS[4] - 1)
 
 
-def holds(intervals: tuple[Interval, ...], value: int) -> bool:
+def any_contains(intervals: tuple[Interval, ...], value: int) -> bool:
     """Tell whether one of the intervals holds the value."""
     return any(low <= value < high for low, high in intervals)
 
 
-class Table:
+class RouteTable:
     """Routes by their place in the file, and the trees over them.
 
     `routes` hold (plan, box); `roots` (first route, place of the tree's root), by the first route; `nodes`
@@ -77,7 +77,7 @@
         self.routes, self.roots, self.nodes, self.leaves = routes, roots, nodes, leaves
         # Of each route only the axes on which it says something: most say one or two.
         self._terms = [
-            tuple((axis, box[axis]) for axis in range(len(AXES)) if box[axis] != ((0, ENDS[axis]),))
+            tuple((axis, box[axis]) for axis in range(len(AXES)) if box[axis] != ((0, AXIS_ENDS[axis]),))
             for _, box in routes
         ]
         self._bounds: list[int] = []  # of the networks that have a budget: they lie apart
@@ -88,7 +88,7 @@
             self._bounds += (low, high)
             self._owners += (owner, -1)
 
-    def find(self, sight: Sight) -> int:
+    def find(self, sight: RouteKey) -> int:
         """Return the place of the first route that matches, or -1."""
         best = len(self.routes)
         for first, place in self.roots:
@@ -112,14 +112,14 @@
                     break
         return best if best < len(self.routes) else -1
 
-    def scan(self, sight: Sight) -> int:
+    def find_linear(self, sight: RouteKey) -> int:
         """Return the same by comparing all routes in order: what the tree is measured and tested against."""
         for route, terms in enumerate(self._terms):
-            if all(holds(intervals, sight[axis]) for axis, intervals in terms):
+            if all(any_contains(intervals, sight[axis]) for axis, intervals in terms):
                 return route
         return -1
 
-    def network(self, address: int) -> int:
+    def find_network(self, address: int) -> int:
         """Return the place of the network with a budget that holds the address, or -1."""
         place = bisect_right(self._bounds, address) - 1
         return self._owners[place] if place >= 0 else -1
--- a/cometseam/timing/grow.py
+++ b/cometseam/timing/tree_builder.py
@@ -11,8 +11,8 @@
 from collections import defaultdict
 from itertools import pairwise
 
-from cometseam.timing.sets import covered_by, meet
-from cometseam.timing.table import ENDS, Box
+from cometseam.timing.intervals import covered_by, intersect_boxes
+from cometseam.timing.table import AXIS_ENDS, Box
 
 FEW = 2  # routes that a leaf compares: a further node costs as much
 CUTS = 1024  # of a node: a look-up bisects them
@@ -25,10 +25,12 @@
 
 
 def _narrow(box: Box) -> tuple[bool, ...]:
-    return tuple(WIDE * sum(b - a for a, b in box[axis]) < ENDS[axis] for axis in range(1, len(ENDS)))
+    return tuple(
+        WIDE * sum(b - a for a, b in box[axis]) < AXIS_ENDS[axis] for axis in range(1, len(AXIS_ENDS))
+    )
 
 
-class Grower:
+class RouteTreeBuilder:
     """Grows the trees over boxes by place."""
 
     def __init__(self, boxes: list[Box]) -> None:
@@ -38,7 +40,7 @@
         self.roots: list[tuple[int, int]] = []  # (first route, place of its root), by the first route
         self._named = self._most = 0
 
-    def grow(self) -> None:
+    def build(self) -> None:
         """Fill `roots`, `nodes` and `leaves`."""
         parts: dict[tuple[bool, ...], list[int]] = defaultdict(list)
         for route, box in enumerate(self.boxes):
@@ -49,7 +51,7 @@
 
     def _tree(self, routes: tuple[int, ...]) -> int:
         """Grow one tree and return the place of its root."""
-        region = tuple((0, end) for end in ENDS)
+        region = tuple((0, end) for end in AXIS_ENDS)
         # Breadth first, so that what may be named is spent evenly: routes, region, node to hang it on.
         turns: list[tuple[tuple[int, ...], tuple[Range, ...], int]] = [(routes, region, -1)]
         children: dict[int, list[int]] = {}
@@ -132,10 +134,10 @@
         return out
 
 
-def covered(boxes: list[Box], most: int = 64) -> dict[int, list[int]]:
+def covered_routes(boxes: list[Box], most: int = 64) -> dict[int, list[int]]:
     """Tell which boxes earlier ones cover, and by which; past `most` of them no more are looked for."""
     found: dict[int, list[int]] = {}
-    for route, earlier in enumerate(neighbours(boxes)):
+    for route, earlier in enumerate(overlapping_earlier(boxes)):
         if earlier:
             by = covered_by(boxes[route], [(place, boxes[place]) for place in earlier], PIECES)
             if by is not None:
@@ -145,13 +147,13 @@
     return found
 
 
-def neighbours(boxes: list[Box]) -> list[list[int]]:
+def overlapping_earlier(boxes: list[Box]) -> list[list[int]]:
     """Tell for each box the earlier ones that meet it, in order.
 
     Only boxes that share a cell of a coarse grid over one axis are compared: for routes that lie apart that
     is few.
     """
-    axis = max(range(len(ENDS)), key=lambda axis: len({box[axis] for box in boxes}), default=0)
+    axis = max(range(len(AXIS_ENDS)), key=lambda axis: len({box[axis] for box in boxes}), default=0)
     ends = sorted({end for box in boxes for interval in box[axis] for end in interval})
     edges = ends[:: max(len(ends) // 512, 1)]
     bins: dict[int, list[int]] = defaultdict(list)
@@ -161,7 +163,7 @@
         for low, high in box[axis]:
             mine.update(range(bisect_right(edges, low), bisect_right(edges, high - 1) + 1))
         near = sorted({place for number in mine for place in bins[number]})
-        out.append([place for place in near if meet(box, boxes[place]) is not None])
+        out.append([place for place in near if intersect_boxes(box, boxes[place]) is not None])
         for number in mine:
             bins[number].append(route)
     return out
--- a/cometseam/transport/attempt.py
+++ b/cometseam/transport/attempt.py
@@ -7,13 +7,13 @@
 
 from cometseam.protocol.resp import Answer, Command
 from cometseam.transport.clock import Timer
-from cometseam.transport.connection import Outgoing
+from cometseam.transport.connection import OutgoingMessage
 
 if TYPE_CHECKING:
     from cometseam.transport.peer import Channel
 
 
-class How(StrEnum):
+class EndReason(StrEnum):
     """How a relay ended."""
 
     ANSWERED = "answered"
@@ -25,45 +25,45 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class Attempt:
     """A relay to be sent: one is out for a pull at a time."""
 
-    pull: int
-    relay: int
+    pull_number: int
+    relay_index: int
     command: Command
     body: list[memoryview]
-    asked_at: float
-    due: float
+    queued_at: float
+    deadline: float
     timer: Timer | None = None
     channel: "Channel | None" = None
-    outgoing: Outgoing | None = None
+    outgoing: OutgoingMessage | None = None
     written_at: float = 0.0  # 0: not written whole
-    again: bool = False  # the connection it was to go over broke before it was written whole
+    requeued: bool = False  # the connection it was to go over broke before it was written whole
     # Cleared where its pull has its final answer or its client has left, or it was decided before a drain, a
     # purge or a new start: from then on no byte of it is written anew.
     wanted: bool = True
     # Looked at just before its first byte is written: whether its client still waits; until when it may be.
-    awaited: Callable[[], bool] = field(default=lambda: True)
+    is_client_waiting: Callable[[], bool] = field(default=lambda: True)
     begin_by: float = float("inf")
-    begins: Callable[[], None] = field(default=lambda: None)  # told just before its first byte is written
+    on_begin: Callable[[], None] = field(default=lambda: None)  # told just before its first byte is written
 
     def may_begin(self, now: float) -> bool:
         """Tell whether it may be written: for a client that still waits, while a repeat of it is dropped."""
-        return self.awaited() and self.wanted and now <= self.begin_by
+        return self.is_client_waiting() and self.wanted and now <= self.begin_by
 
 
 @dataclass(slots=True)
 class GiveUp:
     """Stop waiting for a relay, or take it back only if nothing of it is written yet."""
 
-    ask: Ask
+    attempt: Attempt
     if_unsent: bool = False
 
 
 @dataclass(slots=True)
-class End:
+class AttemptEnded:
     """A relay has ended."""
 
-    ask: Ask
-    how: How
+    attempt: Attempt
+    reason: EndReason
     answer: Answer | None = None
--- a/cometseam/transport/buffers.py
+++ b/cometseam/transport/buffers.py
@@ -4,9 +4,9 @@
 
 import anyio
 
-from cometseam.counters import COUNTERS, invariant
+from cometseam.counters import COUNTERS, check_invariant
 
-SIZE = 32768  # an eighth of the largest message: small ones waste little, large ones take few
+BUFFER_SIZE_BYTES = 32768  # an eighth of the largest message: small ones waste little, large ones take few
 ASK_AGAIN = 0.1  # s
 
 
@@ -14,21 +14,21 @@
     pass
 
 
-class Pool:
+class BufferPool:
     """Lends buffers; their number is bounded by the memory they may take."""
 
     def __init__(self, memory: int) -> None:
         self._free: list[bytearray] = []
-        self._unmade = self.most = 0
+        self._unmade = self.max_buffers = 0
         self.resize(memory)
         self._freed = anyio.Event()
-        self.on_short: Callable[[], None] = _nothing  # asks for room to be made
+        self.on_shortage: Callable[[], None] = _nothing  # asks for room to be made
 
     def resize(self, memory: int) -> None:
         """Change the bound; where more are lent, they are forgotten as they come back."""
-        most = max(memory // SIZE, 2 * 8)
-        self._unmade += most - self.most
-        self.most = most
+        most = max(memory // BUFFER_SIZE_BYTES, 2 * 8)
+        self._unmade += most - self.max_buffers
+        self.max_buffers = most
         self._trim()
 
     def _trim(self) -> None:
@@ -37,35 +37,37 @@
             self._unmade += 1
 
     @property
-    def out(self) -> int:
+    def in_use(self) -> int:
         """Tell how many are lent."""
-        return self.most - self._unmade - len(self._free)
+        return self.max_buffers - self._unmade - len(self._free)
 
-    def take(self) -> bytearray | None:
+    def acquire(self) -> bytearray | None:
         """Lend one buffer."""
         if self._free:
             return self._free.pop()
         if self._unmade <= 0:
             return None
         self._unmade -= 1
-        COUNTERS.see("buffers", self.most - self._unmade)
-        return bytearray(SIZE)
+        COUNTERS.record_max("buffers", self.max_buffers - self._unmade)
+        return bytearray(BUFFER_SIZE_BYTES)
 
-    def room(self, size: int) -> "Chain | None":
+    def allocate(self, size: int) -> "MessageBuffer | None":
         """Lend room for a message of this size, or nothing where it can't be lent whole."""
-        count = -(-size // SIZE)
+        count = -(-size // BUFFER_SIZE_BYTES)
         if count > len(self._free) + self._unmade:
             COUNTERS.add("buffers.short")
-            self.on_short()
+            self.on_shortage()
         if count > len(self._free) + self._unmade:
             return None
-        return Chain(self, [buffer for _ in range(count) if (buffer := self.take()) is not None], size)
+        return MessageBuffer(
+            self, [buffer for _ in range(count) if (buffer := self.acquire()) is not None], size
+        )
 
-    def give_back(self, buffers: list[bytearray]) -> None:
+    def release(self, buffers: list[bytearray]) -> None:
         """Take lent buffers back."""
         self._free += buffers
         self._trim()
-        invariant(self.out >= 0, "buffers come back once")
+        check_invariant(self.in_use >= 0, "buffers come back once")
         if not self._freed.is_set():
             self._freed.set()
 
@@ -77,12 +79,12 @@
             await self._freed.wait()
 
 
-class Chain:
+class MessageBuffer:
     """Room for one message, in buffers of the pool."""
 
     __slots__ = ("_buffers", "_filled", "_pool", "size")
 
-    def __init__(self, pool: Pool, buffers: list[bytearray], size: int) -> None:
+    def __init__(self, pool: BufferPool, buffers: list[bytearray], size: int) -> None:
         self._pool, self._buffers, self.size = pool, buffers, size
         self._filled = 0
 
@@ -91,14 +93,14 @@
         taken = min(self.size - self._filled, len(data))
         at = 0
         while at < taken:
-            place, offset = divmod(self._filled, SIZE)
-            step = min(SIZE - offset, taken - at)
+            place, offset = divmod(self._filled, BUFFER_SIZE_BYTES)
+            step = min(BUFFER_SIZE_BYTES - offset, taken - at)
             self._buffers[place][offset : offset + step] = data[at : at + step]
             at += step
             self._filled += step
         return taken
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether nothing is missing any more."""
         return self._filled == self.size
 
@@ -106,13 +108,16 @@
         """Return the bytes from `start` on, in pieces."""
         views = []
         for place, buffer in enumerate(self._buffers):
-            low, high = max(start - place * SIZE, 0), min(self.size - place * SIZE, SIZE)
+            low, high = (
+                max(start - place * BUFFER_SIZE_BYTES, 0),
+                min(self.size - place * BUFFER_SIZE_BYTES, BUFFER_SIZE_BYTES),
+            )
             if low < high:
                 views.append(memoryview(buffer)[low:high])
         return views
 
     def free(self) -> None:
         """Give the buffers back."""
-        invariant(bool(self._buffers) or not self.size, "a message is freed once")
+        check_invariant(bool(self._buffers) or not self.size, "a message is freed once")
         buffers, self._buffers = self._buffers, []
-        self._pool.give_back(buffers)
+        self._pool.release(buffers)
--- a/cometseam/transport/client.py
+++ b/cometseam/transport/client.py
@@ -7,44 +7,45 @@
 from anyio.abc import TaskGroup
 
 from cometseam.counters import COUNTERS
-from cometseam.events import say
-from cometseam.protocol import Body, Malformed
+from cometseam.events import log_event
+from cometseam.protocol import Body, ProtocolError
 from cometseam.protocol.frames import (
-    MOST,
+    MAX_FRAME_LENGTH,
     Decoder,
     Frame,
-    Order,
-    Type,
-    read_order,
+    FrameType,
+    PullRequest,
+    read_pull_request,
     write_errored,
     write_frame,
     write_readiness,
     write_served,
     write_shed,
 )  # fmt: skip
-from cometseam.timing import whole_address
-from cometseam.transport.buffers import Pool
+from cometseam.timing import address_number
+from cometseam.transport.buffers import BufferPool
 from cometseam.transport.clock import Clock
-from cometseam.transport.connection import Connection, Part
+from cometseam.transport.connection import Chunk, Connection
 
 # By the protocol. What is unusable is told within 3 s of connecting: what has sent nothing whole, or part of
 # a frame, has a second less. Clients end what is idle for 4 s: what stays longer is in nobody's use.
-SENT = (Type.PULL, Type.HANG_UP, Type.READY)
-MOST_OPEN = 32  # pulls open on a connection
+SENT = (FrameType.PULL, FrameType.HANG_UP, FrameType.READY)
+MAX_OPEN_PULLS = 32  # pulls open on a connection
 FIRST_WORD, IDLE = 2000.0, 4500.0  # ms
 LOOK = 0.25  # s between two looks for what has lasted too long
 ACCEPTED = 16  # connections taken in one turn of the loop
 SPARE = 16  # part of the places that those on their way out may have beside those that are served
-CROSSES = 50.0  # ms by the protocol in which what a client sends may cross the end of its connection
+# ms by the protocol in which what a client sends may cross the end of its connection.
+CLOSE_CROSSING_MS = 50.0
 
 
-class Pulls(Protocol):
+class PullHandler(Protocol):
     """Where pulls go."""
 
     def is_ready(self) -> bool:
         """Tell whether the front can serve."""
 
-    def take(self, client: "Client", stream: int, order: Order) -> bool:
+    def submit_pull(self, client: "Client", stream: int, order: PullRequest) -> bool:
         """Take a pull in, and with it what its frame holds; False where there is no room for it now."""
 
     def hang_up(self, client: "Client", stream: int) -> None:
@@ -55,11 +56,11 @@
     """One connection of a client."""
 
     def __init__(
-        self, sock: socket.socket, pool: Pool, clock: Clock, pulls: Pulls, address: str = ""
+        self, sock: socket.socket, pool: BufferPool, clock: Clock, pulls: PullHandler, address: str = ""
     ) -> None:
-        self.address = whole_address(address)  # as a number: routes and budgets may go by it
+        self.address = address_number(address)  # as a number: routes and budgets may go by it
         self._connection = Connection(sock, pool, clock)
-        self._decoder = Decoder(pool.room)
+        self._decoder = Decoder(pool.allocate)
         self._clock, self._pulls = clock, pulls
         self._open: set[int] = set()  # streams that are owed an answer
         self._highest = 0
@@ -74,34 +75,40 @@
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing is owed on it or on its way out."""
-        return not self._open and not self._connection.is_stuck
+        return not self._open and not self._connection.is_write_blocked
 
     @property
-    def is_spare(self) -> bool:
+    def is_closable(self) -> bool:
         """Tell whether its end would cost nothing that has come so far, in part or whole."""
-        return self.is_idle and not self._decoder.is_inside and not self._connection.has_input()
+        return self.is_idle and not self._decoder.has_partial_frame and not self._connection.has_input()
 
     @property
-    def is_quiet(self) -> bool:
+    def is_drained(self) -> bool:
         """Tell whether nothing has come on it that is still to be answered."""
-        return self._ending or self.is_spare
+        return self._ending or self.is_closable
 
-    def may_go(self, greets_within: float) -> bool:
+    def is_evictable(self, greets_within: float) -> bool:
         """Tell whether it may give its place: the first pull of a new one may still be on its way."""
-        return self.is_spare and (self._spoke or self._came_at < self._clock.now() - greets_within)
+        return self.is_closable and (self._spoke or self._came_at < self._clock.now() - greets_within)
 
     def is_stalled(self, longest: float) -> bool:
         """Tell whether it has left an answer half read for longer than that."""
-        if self._connection.is_stuck and self._connection.stuck_since < self._clock.now() - longest:
-            self._connection.write_on()  # this program may have stood still, and the client reads well
-        return self._connection.is_stuck and self._connection.stuck_since < self._clock.now() - longest
+        if (
+            self._connection.is_write_blocked
+            and self._connection.write_blocked_since < self._clock.now() - longest
+        ):
+            self._connection.flush()  # this program may have stood still, and the client reads well
+        return (
+            self._connection.is_write_blocked
+            and self._connection.write_blocked_since < self._clock.now() - longest
+        )
 
     def is_overdue(self) -> bool:
         """Tell whether it has held a place for too long with nothing that is open."""
         if self.is_idle and self._is_half():
             return True
         if self._spoke:  # a frame that begins just then is waited for: `_is_half` bounds that
-            return self.is_spare and self.used_at < self._clock.now() - IDLE
+            return self.is_closable and self.used_at < self._clock.now() - IDLE
         silent = self.is_idle and not self._connection.has_input()
         return silent and self.used_at < self._clock.now() - FIRST_WORD
 
@@ -113,31 +120,31 @@
         late = 0.0 < self._half_since < self._clock.now() - FIRST_WORD
         return late and not self._connection.has_input()
 
-    def end_half_frame(self) -> None:
+    def reject_incomplete_frame(self) -> None:
         """Take no more from a client whose frame does not end; pulls open on it are still answered."""
         if not self.is_idle and not self._ending and self._is_half():
-            self.unusable(0, "a frame that does not end")
+            self.reject_input(0, "a frame that does not end")
 
     async def run(self, draining: bool) -> None:
         """Serve it until it ends."""
         if draining:
-            self.tell_no_more()
+            self.send_no_more()
         try:
             await self._connection.run(self._feed, self._withdraw)
         finally:
             self._decoder.close()
             self._withdraw()
             if self._ended_by != "the client":
-                say("client.ended", why=self._ended_by, pending=0)
+                log_event("client.ended", why=self._ended_by, pending=0)
 
-    def look(self) -> None:
+    def withdraw_if_disconnected(self) -> None:
         """Look whether the client has left, also where that is still unread; its pulls are withdrawn then."""
-        if self._open and self._connection.has_left():
+        if self._open and self._connection.remote_has_closed():
             self._withdraw()
 
     def _withdraw(self) -> None:
         if self._open:
-            say("client.ended", why=self._ended_by, pending=len(self._open))
+            log_event("client.ended", why=self._ended_by, pending=len(self._open))
         for stream in sorted(self._open):
             self._pulls.hang_up(self, stream)
         self._open.clear()
@@ -146,26 +153,26 @@
         """Tell whether an answer on this stream is still wanted."""
         return stream in self._open
 
-    def tell_no_more(self) -> None:
+    def send_no_more(self) -> None:
         """Say that no new pull should come on this connection."""
-        self._connection.send([write_frame(Type.NO_MORE, 0)])
+        self._connection.send([write_frame(FrameType.NO_MORE, 0)])
 
     def close(self, why: str) -> None:
         """End the connection at once: what is on its way out is lost."""
         self._ended_by = why
         self._connection.close()
 
-    def end(self, why: str) -> None:
+    def close_gracefully(self, why: str) -> None:
         """End the connection, and take no more from it; what has been written reaches the client."""
         self._ended_by = why
         self._ending = True
-        self._connection.end()
+        self._connection.close_gracefully()
 
     def _feed(self, data: memoryview) -> int:
         if self._ending:
             # Past the bound it is not read while it is owed something: what it floods us with waits at its
             # side, and answers that are owed on it are not lost.
-            if self._passed_over > MOST and not self.is_idle:
+            if self._passed_over > MAX_FRAME_LENGTH and not self.is_idle:
                 return 0
             self._passed_over += len(data)
             return len(data)
@@ -173,7 +180,7 @@
         taken, lost = len(data), ""
         try:
             taken = self._decoder.feed(data, frames)
-        except Malformed as error:
+        except ProtocolError as error:
             lost = str(error)
         if frames:
             self._spoke, self.used_at = True, self._clock.now()
@@ -183,77 +190,77 @@
             else:
                 self._take(frame)
         if frames or not self._half_since:
-            self._half_since = self._clock.now() if self._decoder.is_inside else 0.0
+            self._half_since = self._clock.now() if self._decoder.has_partial_frame else 0.0
         if lost and not self._ending:
-            self.unusable(0, lost)
+            self.reject_input(0, lost)
         return len(data) if self._ending else taken
 
     def _end_if_done(self) -> None:
         if self._ending and self.is_idle:
-            self._connection.end()
+            self._connection.close_gracefully()
 
     def _take(self, frame: Frame) -> None:
         COUNTERS.add(f"client.frame.{frame.type}" if frame.type in SENT else "client.frame.unknown")
         match frame.type:
-            case Type.PULL:
+            case FrameType.PULL:
                 self._take_pull(frame)
                 return
-            case Type.HANG_UP:
+            case FrameType.HANG_UP:
                 if frame.stream in self._open:
                     self._open.discard(frame.stream)
                     self._pulls.hang_up(self, frame.stream)
-            case Type.READY:
+            case FrameType.READY:
                 self._connection.send([write_readiness(frame.stream, self._pulls.is_ready())])
             case _:
-                self.unusable(0, f"an unknown type {frame.type}")
+                self.reject_input(0, f"an unknown type {frame.type}")
         frame.free()
 
     def _take_pull(self, frame: Frame) -> None:
         stream = frame.stream
         if stream <= self._highest:
-            self.unusable(0, f"stream {stream} is not new")
+            self.reject_input(0, f"stream {stream} is not new")
             frame.free()
             return
         self._highest = stream
         try:
-            if len(self._open) >= MOST_OPEN:
-                raise Malformed("too many are open on this connection")
-            order = read_order(frame)
-        except Malformed as error:
-            self.unusable(stream, str(error))
+            if len(self._open) >= MAX_OPEN_PULLS:
+                raise ProtocolError("too many are open on this connection")
+            order = read_pull_request(frame)
+        except ProtocolError as error:
+            self.reject_input(stream, str(error))
             frame.free()
             return
         self._open.add(stream)
-        if not self._pulls.take(self, stream, order):
-            self.shed(stream, 0.0)
+        if not self._pulls.submit_pull(self, stream, order):
+            self.answer_shed(stream, 0.0)
             frame.free()
 
-    def unusable(self, stream: int, why: str) -> None:
+    def reject_input(self, stream: int, why: str) -> None:
         """Tell what can't be used, take no more from it, and end it when nothing is open on it any more.
 
         Guards the others against a client that floods, or sends the same again as soon as it is told.
         """
         COUNTERS.add("client.bad_input")
-        say("client.unusable", why=why)
+        log_event("client.unusable", why=why)
         self._ending, self._ended_by = True, "unusable input"
         self._open.discard(stream)
         self._connection.send([write_errored(stream, why)], lambda _: self._end_if_done())
 
-    def served(self, stream: int, copy_holds: bool, body: Body | None) -> None:
+    def answer_served(self, stream: int, copy_holds: bool, body: Body | None) -> None:
         """Answer a pull with its bytes; they are given back when they are written or can't be."""
         views = body.views() if body is not None else []
         head = write_served(stream, copy_holds, sum(len(view) for view in views))
         self._answer(stream, "served", [head, *views], body)
 
-    def shed(self, stream: int, come_back_in: float) -> None:
+    def answer_shed(self, stream: int, come_back_in: float) -> None:
         """Answer that trying again is harmless."""
         self._answer(stream, "shed", [write_shed(stream, come_back_in)])
 
-    def errored(self, stream: int, why: str = "") -> None:
+    def answer_errored(self, stream: int, why: str = "") -> None:
         """Answer that a pull was not done."""
         self._answer(stream, "errored", [write_errored(stream, why)])
 
-    def _answer(self, stream: int, name: str, parts: list[Part], body: Body | None = None) -> None:
+    def _answer(self, stream: int, name: str, parts: list[Chunk], body: Body | None = None) -> None:
         if stream not in self._open:  # nobody waits any more, and that is still to be handled
             COUNTERS.add("answer.hung_up")
             if body is not None:
@@ -278,11 +285,11 @@
     """
 
     def __init__(
-        self, address: tuple[str, int], most: int, pool: Pool, clock: Clock, pulls: Pulls,
-        greets_within: float = 0.0,
+        self, address: tuple[str, int], max_clients: int, pool: BufferPool, clock: Clock, pulls: PullHandler,
+        first_pull_timeout: float = 0.0,
     ) -> None:  # fmt: skip
-        self.most, self._pool, self._clock, self._pulls = most, pool, clock, pulls
-        self._greets_within = greets_within  # ms by which a new connection's first pull has come
+        self.max_clients, self._pool, self._clock, self._pulls = max_clients, pool, clock, pulls
+        self._greets_within = first_pull_timeout  # ms by which a new connection's first pull has come
         self.clients: set[Client] = set()  # a client leaves when its connection has ended
         # Those that were ended, and when; they are still read to a bound. They hold descriptors: with
         # `clients` they are at most `_bound`, and the one that was ended first gives its place at once.
@@ -302,7 +309,7 @@
             try:
                 await anyio.wait_readable(self._sock)
             except (anyio.ClosedResourceError, ValueError, OSError):
-                return  # by `end_all`
+                return  # by `begin_shutdown`
             for _ in range(ACCEPTED):
                 taken = self.accept()
                 if taken is None:
@@ -315,14 +322,14 @@
         if self._tasks is None or self._sock.fileno() < 0:
             return False
         places = len(self.clients) + len(self._leaving)
-        idlest = self._idlest() if places >= self.most and not self._leaving else None
-        if places >= self.most and idlest is None and not self._leaving:
+        idlest = self._idlest() if places >= self.max_clients and not self._leaving else None
+        if places >= self.max_clients and idlest is None and not self._leaving:
             return None
         if places >= self._bound:
             # The descriptor is wanted now. Past the time in which what a client sent may cross the end, a
             # reset can destroy nothing any more.
             ended_first, at = next(iter(self._leaving.items()), (None, 0.0))
-            if ended_first is None or self._clock.now() - at < CROSSES:
+            if ended_first is None or self._clock.now() - at < CLOSE_CROSSING_MS:
                 return None
             del self._leaving[ended_first]
             ended_first.close("its place is wanted")
@@ -336,67 +343,67 @@
             return None
         except OSError as error:
             COUNTERS.add("client.not_accepted")
-            say("client.not_accepted", why=str(error))
+            log_event("client.not_accepted", why=str(error))
             return None
         COUNTERS.add("client.accepted")
         if idlest is not None:
             COUNTERS.add("client.gave_place")
             self._end(idlest, "gave its place")
         self.clients.add(client)
-        COUNTERS.see("client.connections", len(self.clients))
+        COUNTERS.record_max("client.connections", len(self.clients))
         self._tasks.start_soon(self._serve, client)
         return True
 
     @property
     def _bound(self) -> int:
         """Tell how many connections it may hold with those on their way out."""
-        return self.most + max(self.most // SPARE, 1)
+        return self.max_clients + max(self.max_clients // SPARE, 1)
 
     def _idlest(self) -> Client | None:
         """Return the connection that has been idle longest, if there is one on which nothing is open."""
         by_age = sorted(self.clients, key=lambda client: client.used_at)
-        return next((client for client in by_age if client.may_go(self._greets_within)), None)
+        return next((client for client in by_age if client.is_evictable(self._greets_within)), None)
 
     def _end(self, client: Client, why: str) -> None:
         """End a connection; its descriptor is free when its client has seen that."""
         self.clients.discard(client)
         self._leaving[client] = self._clock.now()
-        client.end(why)
+        client.close_gracefully(why)
 
     @property
     def is_empty(self) -> bool:
         """Tell whether no connection is left, not even one that has been ended and is still read."""
         return not self.clients and not self._leaving
 
-    def end_all(self) -> None:
+    def begin_shutdown(self) -> None:
         """End all connections, and take no more in: the front ends. What has been written reaches clients."""
         anyio.notify_closing(self._sock)
         self._sock.close()
         for client in [*self.clients, *self._leaving]:
-            client.end("the front ends")
+            client.close_gracefully("the front ends")
 
     async def _serve(self, client: Client) -> None:
         try:
             await client.run(self._draining)
         except Exception as error:
             COUNTERS.add("client.exception")
-            say("client.failed", error)
+            log_event("client.failed", error)
         finally:
             self.clients.discard(client)
             self._leaving.pop(client, None)
 
-    async def end_overdue(self, longest: float) -> None:
+    async def close_overdue(self, longest: float) -> None:
         """End what holds a place or buffers for longer than it may, for ever."""
         while True:
             await anyio.sleep(LOOK)
-            self.make_room(longest)
+            self.close_stalled(longest)
             for client in list(self.clients):
-                client.end_half_frame()
+                client.reject_incomplete_frame()
                 if client.is_overdue():
                     COUNTERS.add("client.overdue")
                     self._end(client, "overdue")
 
-    def make_room(self, longest: float) -> None:
+    def close_stalled(self, longest: float) -> None:
         """End the connections that have kept buffers busy for so long: others wait for these."""
         for client in list(self.clients):
             if client.is_stalled(longest):
@@ -408,4 +415,4 @@
         """Ask all clients to send no new pull, those to come as well."""
         self._draining = True
         for client in list(self.clients):
-            client.tell_no_more()
+            client.send_no_more()
--- a/cometseam/transport/clock.py
+++ b/cometseam/transport/clock.py
@@ -8,7 +8,7 @@
 import anyio
 
 from cometseam.counters import COUNTERS
-from cometseam.events import say
+from cometseam.events import log_event
 
 GRID = 4.0  # ms within which what comes due is done in one turn of the loop; deadlines have 50
 
@@ -59,7 +59,7 @@
         self._sooner = anyio.Event()
         self._waits_for = 0.0
 
-    def at(self, due: float, run: Callable[[], None]) -> Timer:
+    def call_at(self, due: float, run: Callable[[], None]) -> Timer:
         """Have something done at a time."""
         timer = Timer(due, run)
         heappush(self._heap, (due, next(self._order), timer))
@@ -74,12 +74,12 @@
             while self._heap and (self._heap[0][0] <= now or self._heap[0][2].run is _nothing):
                 due, _, timer = heappop(self._heap)
                 if timer.run is not _nothing:
-                    COUNTERS.see("timer_late_ms", now - due)
+                    COUNTERS.record_max("timer_late_ms", now - due)
                 try:
                     timer.run()
                 except Exception as error:
                     COUNTERS.add("timer.exception")
-                    say("timer.failed", error)
+                    log_event("timer.failed", error)
             self._waits_for = max(self._heap[0][0], now + GRID) if self._heap else now + 60000.0
             self._sooner = anyio.Event()
             with anyio.move_on_after(max(self._waits_for - self._clock.now(), 0.0) / 1000.0):
--- a/cometseam/transport/connection.py
+++ b/cometseam/transport/connection.py
@@ -7,33 +7,33 @@
 
 import anyio
 
-from cometseam.transport.buffers import Pool
+from cometseam.transport.buffers import BufferPool
 from cometseam.transport.clock import Clock
 
-Part = bytes | memoryview
+Chunk = bytes | memoryview
 # How long after the last byte was written, and how many bytes, a connection is read whose write side has
 # ended: what comes unread to a closed socket makes the system send a reset, which can destroy answers already
 # written (RFC 9112, 9.6).
-LINGER, LINGER_BYTES = 1.0, 262144  # s; bytes: one message of the largest size
+LINGER_S, LINGER_BYTES = 1.0, 262144  # s; bytes: one message of the largest size
 # Errors of a call that say nothing of the connection: the same call is made again after a while.
 PASSING, CALL_AGAIN = frozenset({errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS}), 0.01  # s
 CLOSE_WAIT = 8  # TCP_INFO's first byte: the other side has ended, also where unread input comes before that
 
 
-class Outgoing:
+class OutgoingMessage:
     """A message on its way out."""
 
-    __slots__ = ("begin", "begun", "done", "parts")
+    __slots__ = ("begun", "chunks", "may_begin", "on_done")
 
-    def __init__(self, parts: list[Part], done: Callable[[bool], None] | None) -> None:
-        self.parts = parts
-        self.done = done  # told once, whether the message was written whole
+    def __init__(self, parts: list[Chunk], done: Callable[[bool], None] | None) -> None:
+        self.chunks = parts
+        self.on_done = done  # told once, whether the message was written whole
         self.begun = False
-        self.begin: Callable[[], bool] | None = None  # asked before its first byte; False: it is dropped
+        self.may_begin: Callable[[], bool] | None = None  # asked before its first byte; False: it is dropped
 
     def finish(self, whole: bool) -> None:
         """Tell how it went."""
-        done, self.done, self.parts = self.done, None, []
+        done, self.on_done, self.chunks = self.on_done, None, []
         if done is not None:
             done(whole)
 
@@ -41,13 +41,13 @@
 class Connection:
     """A connected socket. `run` reads until it ends; `close` ends it from any task."""
 
-    def __init__(self, sock: socket.socket, pool: Pool, clock: Clock) -> None:
+    def __init__(self, sock: socket.socket, pool: BufferPool, clock: Clock) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock, self._pool, self._clock = sock, pool, clock
-        self._out: deque[Outgoing] = deque()
+        self._out: deque[OutgoingMessage] = deque()
         self._stuck = anyio.Event()
-        self.stuck_since = 0.0  # when the other side last stopped taking what is written
+        self.write_blocked_since = 0.0  # when the other side last stopped taking what is written
         self._wrote_at = 0.0
         self.closed = False
         self.starved = False  # its reading waits for room of this program's own
@@ -57,12 +57,12 @@
         self._passed_over = 0  # bytes read after that
 
     @property
-    def is_ending(self) -> bool:
+    def is_closing(self) -> bool:
         """Tell whether nothing new is written to it."""
         return self.closed or self._ends.is_set()
 
     @property
-    def is_stuck(self) -> bool:
+    def is_write_blocked(self) -> bool:
         """Tell whether something waits until the other side reads."""
         return bool(self._out)
 
@@ -73,7 +73,7 @@
         except OSError:
             return False
 
-    def has_left(self) -> bool:
+    def remote_has_closed(self) -> bool:
         """Tell whether the other side has ended or reset it, as far as that shows behind unread input."""
         if self.closed:
             return True
@@ -88,9 +88,9 @@
             return False
 
     def send(
-        self, parts: list[Part], done: Callable[[bool], None] | None = None,
+        self, parts: list[Chunk], done: Callable[[bool], None] | None = None,
         begin: Callable[[], bool] | None = None,
-    ) -> Outgoing:  # fmt: skip
+    ) -> OutgoingMessage:  # fmt: skip
         """Write a message, at once as far as the socket takes it.
 
         Args:
@@ -98,19 +98,19 @@
             done: told once, whether it was written whole.
             begin: where it has to wait, asked just before its first byte; False drops it.
         """
-        message = Outgoing(parts, done)
-        if self.is_ending:
+        message = OutgoingMessage(parts, done)
+        if self.is_closing:
             message.finish(False)
             return message
         if not self._out:
-            self.stuck_since = self._clock.now()
+            self.write_blocked_since = self._clock.now()
         self._out.append(message)
         if len(self._out) == 1:
             self._write()
-        message.begin = begin
+        message.may_begin = begin
         return message
 
-    def withdraw(self, message: Outgoing) -> bool:
+    def withdraw(self, message: OutgoingMessage) -> bool:
         """Take back a message of which nothing was written."""
         if message.begun or message not in self._out:
             return False
@@ -118,7 +118,7 @@
         message.finish(False)
         return True
 
-    def write_on(self) -> None:
+    def flush(self) -> None:
         """Write what waits, as far as the socket takes it now."""
         if not self.closed:
             self._write()
@@ -126,12 +126,12 @@
     def _write(self) -> None:
         while self._out:
             message = self._out[0]
-            if not message.begun and message.begin is not None and not message.begin():
+            if not message.begun and message.may_begin is not None and not message.may_begin():
                 self._out.popleft()
                 message.finish(False)
                 continue
             try:
-                sent = self._sock.sendmsg(message.parts)
+                sent = self._sock.sendmsg(message.chunks)
             except OSError as error:
                 if error.errno not in PASSING:
                     self.close()
@@ -140,24 +140,24 @@
                 if not self._stuck.is_set():
                     self._stuck.set()
                 return
-            self.stuck_since = self._wrote_at = self._clock.now()
+            self.write_blocked_since = self._wrote_at = self._clock.now()
             message.begun = True
-            while message.parts and sent >= len(message.parts[0]):
-                sent -= len(message.parts.pop(0))
+            while message.chunks and sent >= len(message.chunks[0]):
+                sent -= len(message.chunks.pop(0))
             if sent:
-                message.parts[0] = memoryview(message.parts[0])[sent:]
-            if message.parts:
+                message.chunks[0] = memoryview(message.chunks[0])[sent:]
+            if message.chunks:
                 continue
             self._out.popleft()
             message.finish(True)
         self._shut_if_written()
 
-    def end(self) -> None:
+    def close_gracefully(self) -> None:
         """End it without a loss: what waits is written, then the write side ends, then it is read to a bound.
 
         It may be called again; `close` ends it at once.
         """
-        if not self.is_ending:
+        if not self.is_closing:
             self._ends.set()
             self._shut_if_written()
 
@@ -175,7 +175,7 @@
         while self._out and not self.closed:  # bounded by whoever ends what is stalled
             await self._pool.wait()
         # What was written longer ago has reached it.
-        await anyio.sleep(max(LINGER - (self._clock.now() - self._wrote_at) / 1000.0, 0.0))
+        await anyio.sleep(max(LINGER_S - (self._clock.now() - self._wrote_at) / 1000.0, 0.0))
         self.close()
 
     async def run(self, feed: Callable[[memoryview], int], left: Callable[[], None] | None = None) -> None:
@@ -205,7 +205,7 @@
             except (anyio.ClosedResourceError, ValueError, OSError):
                 return
             again, at_once = at_once, False
-            while (buffer := self._pool.take()) is None:
+            while (buffer := self._pool.acquire()) is None:
                 if await self._wait_for_room():
                     return
             try:
@@ -232,7 +232,7 @@
                     await anyio.sleep(CALL_AGAIN)
                 continue
             finally:
-                self._pool.give_back([buffer])
+                self._pool.release([buffer])
 
     async def _wait_for_room(self) -> bool:
         """Wait a moment for room; tell whether the other side has left meanwhile.
@@ -244,7 +244,7 @@
             await self._pool.wait()
         finally:
             self.starved = False
-        return self._heeds_end and self.has_left()
+        return self._heeds_end and self.remote_has_closed()
 
     async def _write_on(self) -> None:
         while not self.closed:
--- a/cometseam/transport/probe.py
+++ b/cometseam/transport/probe.py
@@ -2,8 +2,8 @@
 
 import anyio
 
-from cometseam.protocol import Malformed
-from cometseam.protocol.resp import ALIVE, Answer, Decoder, Void, write_hello
+from cometseam.protocol import ProtocolError
+from cometseam.protocol.resp import HELLO_REPLY, Answer, Decoder, DiscardedBody, write_hello
 
 
 async def probe(address: tuple[str, int], within: float) -> bool:
@@ -13,13 +13,13 @@
     than that it is alive. Cancelled, the connection is closed and nothing is left.
     """
     answers: list[Answer] = []
-    decoder = Decoder(lambda size: Void(size))
+    decoder = Decoder(lambda size: DiscardedBody(size))
     with anyio.move_on_after(within / 1000.0):
         try:
             async with await anyio.connect_tcp(*address) as stream:
                 await stream.send(write_hello("probe"))
                 while not answers:
                     decoder.feed(memoryview(await stream.receive(4096)), answers)
-        except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, Malformed):
+        except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, ProtocolError):
             return False
-    return bool(answers) and answers[0].word == ALIVE
+    return bool(answers) and answers[0].word == HELLO_REPLY
--- a/cometseam/transport/surroundings.py
+++ b/cometseam/transport/resources.py
@@ -3,35 +3,35 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cometseam.settings import Links
-from cometseam.transport.buffers import Pool
+from cometseam.settings import NetworkSettings
+from cometseam.transport.buffers import BufferPool
 from cometseam.transport.clock import Clock, Timers
 
 # ms by which the loop is late where the process has stood still; ms after that in which nothing new is
 # written, as what clients and discovery sent meanwhile (withdrawals, drains) is read first; and ms in which
 # a request that is read may have come while the process stood still.
-STAND_STILL, SETTLE, READ_UNTIL = 50.0, 8.0, 30.0
-SAMPLED_EVERY = 50.0  # ms between two measurements of the loop's lag
+STAND_STILL, RESUME_SETTLE_MS, READ_UNTIL = 50.0, 8.0, 30.0
+LAG_SAMPLE_INTERVAL_MS = 50.0  # ms between two measurements of the loop's lag
 
 
 @dataclass(slots=True)
-class Surroundings:
+class ProcessResources:
     """What all peers share."""
 
-    links: Links
-    pool: Pool
+    links: NetworkSettings
+    pool: BufferPool
     clock: Clock
     timers: Timers
-    connections: int  # to peers, at most
-    peers: int = 1  # listed
+    max_connections: int  # to peers, at most
+    peer_count: int = 1  # listed
     sampled_at: float = float("inf")  # when the loop's lag was last measured, a few times a second
     resumed_at: float = float("-inf")  # when the process last went on after it had stood still, on `clock`
-    stood_for: float = 0.0  # ms that it may have stood still then
+    pause_duration: float = 0.0  # ms that it may have stood still then
     # For how many ms requests wait at most until discovery has confirmed the list of endpoints; 0: none.
     confirmation_wait: Callable[[], float] = field(default=lambda: 0.0)
     on_resume: Callable[[float], None] = field(default=lambda lasted: None)  # told of each stand-still, in ms
 
-    def sampled(self, lag: float) -> None:
+    def record_loop_lag(self, lag: float) -> None:
         """Take in by how many ms the loop came late to what was due."""
         now = self.clock.now()
         if lag > STAND_STILL and now >= self.resumed_at + READ_UNTIL:
@@ -45,31 +45,31 @@
         to be confirmed.
         """
         wait = self.unconfirmed_wait()
-        return max(self.resumed_at + SETTLE - self.clock.now(), wait, 0.0)
+        return max(self.resumed_at + RESUME_SETTLE_MS - self.clock.now(), wait, 0.0)
 
     def unconfirmed_wait(self) -> float:
         """Return for how many ms requests wait at most until what is known of endpoints is confirmed."""
-        self.notice_stand_still()
+        self.detect_process_pause()
         return self.confirmation_wait()
 
-    def arrived_at(self) -> float:
+    def earliest_arrival(self) -> float:
         """Return the earliest time at which what is read now can have arrived."""
-        self.notice_stand_still()
+        self.detect_process_pause()
         now = self.clock.now()
-        return now - self.stood_for if now < self.resumed_at + READ_UNTIL else now
+        return now - self.pause_duration if now < self.resumed_at + READ_UNTIL else now
 
-    def notice_stand_still(self) -> None:
+    def detect_process_pause(self) -> None:
         """Look for a stand-still here as well: sockets may come before the timer of the next sample."""
         now = self.clock.now()
-        if now - self.sampled_at > SAMPLED_EVERY + STAND_STILL:
+        if now - self.sampled_at > LAG_SAMPLE_INTERVAL_MS + STAND_STILL:
             lasted, self.sampled_at = now - self.sampled_at, now
             self._resume(now, lasted)
 
     def _resume(self, now: float, lasted: float) -> None:
-        self.resumed_at, self.stood_for = now, lasted
+        self.resumed_at, self.pause_duration = now, lasted
         self.on_resume(lasted)
 
     @property
-    def share(self) -> int:
+    def connections_per_peer(self) -> int:
         """Tell how many connections each peer may have."""
-        return max(self.connections // max(self.peers, 1), 1)
+        return max(self.max_connections // max(self.peer_count, 1), 1)
--- a/cometseam/verdicts/__init__.py
+++ b/cometseam/verdicts/__init__.py
@@ -1,6 +1,6 @@
 """Verdicts on caches that hold for the whole fleet, without I/O. The public door of the package."""
 
-from cometseam.verdicts.board import Board, Heard
-from cometseam.verdicts.prober import Prober, Probing, Ruling
+from cometseam.verdicts.prober import CacheVerdict, Prober, ProbeTerms
+from cometseam.verdicts.verdict_table import VerdictTable, VerdictUpdate
 
-__all__ = ["Board", "Heard", "Prober", "Probing", "Ruling"]
+__all__ = ["CacheVerdict", "ProbeTerms", "Prober", "VerdictTable", "VerdictUpdate"]
--- a/cometseam/verdicts/board.py
+++ b/cometseam/verdicts/verdict_table.py
@@ -2,8 +2,8 @@
 
 A verdict carries its prober's token (the fence) and a number that counts that prober's rulings. One of an
 older token, or of a lower number under the same token, is stale and is passed over: it can come late by a
-slow watch, or from a prober that was paused. One that is not said again within `lasts` ends here whatever
-the service does, so a front whose link to the service is cut goes by a verdict for `lasts` at most after it
+slow watch, or from a prober that was paused. One that is not said again within `ttl` ends here whatever
+the service does, so a front whose link to the service is cut goes by a verdict for `ttl` at most after it
 last heard it. What a verdict may do is the module's to decide, with what the front saw itself before it;
 the rules of sending are kept there and know nothing of verdicts.
 """
@@ -16,70 +16,72 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """One verdict as it is to be told: `rest` (ms) it holds from now; 0: the cache is held good again."""
+class VerdictUpdate:
+    """One verdict as it is to be told: `ttl` (ms) it holds from now; 0: the cache is held good again."""
 
     cache: str
     bad: bool
-    rest: float
+    ttl: float
     age: float  # ms since the evidence began, as the prober said
 
 
 @dataclass(slots=True)
-class Note:
+class KnownVerdict:
     token: int
     number: int
     bad: bool
-    heard_at: float
-    ends_at: float
+    received_at: float
+    expires_at: float
     age: float
 
 
-class Board:
+class VerdictTable:
     """The verdicts that this front knows, by cache; an entry leaves when it ends, or past `MOST`."""
 
     def __init__(self, lasts: float) -> None:
-        self.lasts = lasts
+        self.ttl = lasts
         self.fence = Fence()
-        self.notes: dict[str, Note] = {}
-        self.stale = 0  # verdicts passed over
-        self.lapsed = 0  # ended since nobody said them again
+        self.verdicts: dict[str, KnownVerdict] = {}
+        self.stale_count = 0  # verdicts passed over
+        self.expired_count = 0  # ended since nobody said them again
 
-    def take(self, cache: str, token: int, number: int, bad: bool, age: float, now: float) -> Heard | None:
+    def record_verdict(
+        self, cache: str, token: int, number: int, bad: bool, age: float, now: float
+    ) -> VerdictUpdate | None:
         """Take a verdict in; return what is to be told of it, or None where it is stale or says nothing new.
 
         `age` (ms) is how long before it was published its evidence began; it is bounded here, since it was
         measured by another's clock.
         """
-        known = self.notes.get(cache)
+        known = self.verdicts.get(cache)
         older = known is not None and (token, number) < (known.token, known.number)
         if not self.fence.admit("verdicts", token).passed or older:
-            self.stale += 1
+            self.stale_count += 1
             return None
         if known is not None and (token, number) == (known.token, known.number):
             return None  # heard already (a read of the whole): it holds no longer for it
-        self.notes.pop(cache, None)  # the one heard last stands last
-        if len(self.notes) >= MOST:
-            self.notes.pop(next(iter(self.notes)))
-        age = min(max(age, 0.0), self.lasts)
-        self.notes[cache] = Note(token, number, bad, now, now + self.lasts, age)
+        self.verdicts.pop(cache, None)  # the one heard last stands last
+        if len(self.verdicts) >= MOST:
+            self.verdicts.pop(next(iter(self.verdicts)))
+        age = min(max(age, 0.0), self.ttl)
+        self.verdicts[cache] = KnownVerdict(token, number, bad, now, now + self.ttl, age)
         if not bad and (known is None or not known.bad):
             return None
-        return Heard(cache, bad, self.lasts if bad else 0.0, age)
+        return VerdictUpdate(cache, bad, self.ttl if bad else 0.0, age)
 
-    def end(self, now: float) -> list[str]:
+    def expire(self, now: float) -> list[str]:
         """Drop what has ended; return the caches that were held bad until now."""
-        over = [cache for cache, note in self.notes.items() if note.ends_at <= now]
-        bad = [cache for cache in over if self.notes[cache].bad]
+        over = [cache for cache, note in self.verdicts.items() if note.expires_at <= now]
+        bad = [cache for cache in over if self.verdicts[cache].bad]
         for cache in over:
-            del self.notes[cache]
-        self.lapsed += len(bad)
+            del self.verdicts[cache]
+        self.expired_count += len(bad)
         return bad
 
-    def bad(self, now: float) -> dict[str, float]:
+    def bad_caches(self, now: float) -> dict[str, float]:
         """The caches held bad now, each with when (ms, by this clock) its evidence began."""
         return {
-            cache: note.heard_at - note.age
-            for cache, note in self.notes.items()
-            if note.bad and note.ends_at > now
+            cache: note.received_at - note.age
+            for cache, note in self.verdicts.items()
+            if note.bad and note.expires_at > now
         }
--- a/cometseam/wire/frames.py
+++ b/cometseam/wire/frames.py
@@ -10,7 +10,7 @@
 from typing import BinaryIO
 
 from cometseam import interface as i
-from cometseam.wire import Malformed
+from cometseam.wire import WireFormatError
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +27,16 @@
 
 
 OUTCOMES = {
-    0: i.Outcome.OK, 1: i.Outcome.MISS, 249: i.Outcome.MOOT, 250: i.Outcome.CANCELLED, 251: i.Outcome.RESET,
-    252: i.Outcome.CONNECT_FAILED, 253: i.Outcome.TIMEOUT, 254: i.Outcome.FULL, 255: i.Outcome.ERROR,
-}  # fmt: skip
+    0: i.Outcome.OK,
+    1: i.Outcome.MISS,
+    249: i.Outcome.NOT_SENT,
+    250: i.Outcome.CANCELLED,
+    251: i.Outcome.RESET,
+    252: i.Outcome.CONNECT_FAILED,
+    253: i.Outcome.TIMEOUT,
+    254: i.Outcome.FULL,
+    255: i.Outcome.ERROR,
+}
 REMARKS = {int(remark): remark for remark in i.Remark}
 
 BATCH = struct.Struct("<Id")
@@ -54,13 +61,13 @@
     if not head:
         return None
     if len(head) < BATCH.size:
-        raise Malformed("batch header: input ended inside it")
+        raise WireFormatError("batch header: input ended inside it")
     length, now = BATCH.unpack(head)
     if not math.isfinite(now):
-        raise Malformed("batch header: the clock is not a number")
+        raise WireFormatError("batch header: the clock is not a number")
     body = source.read(length)
     if len(body) < length:
-        raise Malformed(f"batch: {length} bytes announced, input ended after {len(body)}")
+        raise WireFormatError(f"batch: {length} bytes announced, input ended after {len(body)}")
     return now, body
 
 
@@ -69,11 +76,13 @@
     at, instance = 0, -1
     while at < len(body):
         if at + RECORD.size > len(body):
-            raise Malformed("record: input ended inside its head")
+            raise WireFormatError("record: input ended inside its head")
         code, length = RECORD.unpack_from(body, at)
         at += RECORD.size
         if at + length > len(body):
-            raise Malformed(f"record {code}: {length} bytes announced, {len(body) - at} left in the batch")
+            raise WireFormatError(
+                f"record {code}: {length} bytes announced, {len(body) - at} left in the batch"
+            )
         fields = body[at : at + length]
         at += length
         try:
@@ -85,16 +94,16 @@
                 continue
             event = reader(fields)
         except (struct.error, ValueError) as error:
-            raise Malformed(f"record {code}: {error}") from error
+            raise WireFormatError(f"record {code}: {error}") from error
         if instance < 0:
-            raise Malformed(f"record {code}: no instance named before it")
+            raise WireFormatError(f"record {code}: no instance named before it")
         if event is not None:
             yield instance, event
 
 
 def _counted(fields: bytes, at: int, count: int, size: int) -> None:
     if len(fields) != at + count * size:
-        raise Malformed(f"a length of {at + count * size} was expected, not {len(fields)}")
+        raise WireFormatError(f"a length of {at + count * size} was expected, not {len(fields)}")
 
 
 def _loads(fields: bytes, at: int, count: int) -> tuple[float, ...]:
@@ -104,7 +113,7 @@
 
 def _outcome(code: int) -> i.Outcome:
     if code not in OUTCOMES:
-        raise Malformed(f"unknown outcome {code}")
+        raise WireFormatError(f"unknown outcome {code}")
     return OUTCOMES[code]
 
 
@@ -114,13 +123,13 @@
     return Create(seed, fields[CREATE.size :])
 
 
-def _members(fields: bytes) -> i.Members:
+def _members(fields: bytes) -> i.CacheListUpdate:
     kind, _, count = MEMBERS.unpack_from(fields)
     _counted(fields, MEMBERS.size, count, ENTRY.size)
-    return i.Members(
-        i.ListKind(kind),
+    return i.CacheListUpdate(
+        i.ListUpdateKind(kind),
         tuple(
-            i.Listed(cache, i.Lifecycle(state), ready_at, cell, zone, kind, weight)
+            i.CacheEntry(cache, i.Lifecycle(state), ready_at, cell, zone, kind, weight)
             for ready_at, cell, zone, cache, state, weight, kind in ENTRY.iter_unpack(fields[MEMBERS.size :])
         ),
     )
@@ -129,24 +138,24 @@
 def _pull(fields: bytes) -> i.Pull:
     pull, _, part, wanted, workload, left, flags, size_kb, group = PULL.unpack(fields)
     if not (math.isfinite(left) and math.isfinite(size_kb) and math.isfinite(part) and math.isfinite(group)):
-        raise Malformed("a field is not a number")
+        raise WireFormatError("a field is not a number")
     return i.Pull(pull, wanted, int(part), workload, left, bool(flags & 4), size_kb, int(group))
 
 
-def _began(fields: bytes) -> i.Began:
-    return i.Began(BEGAN.unpack(fields)[0])
+def _began(fields: bytes) -> i.RelayBegan:
+    return i.RelayBegan(BEGAN.unpack(fields)[0])
 
 
-def _ended(fields: bytes) -> i.Ended:
+def _ended(fields: bytes) -> i.RelayEnded:
     pull, took, waited, remark, cache, relay, outcome, closed, count = ENDED.unpack_from(fields)
     load = _loads(fields, ENDED.size, count)
     told = REMARKS.get(remark, i.Remark.NONE)
-    return i.Ended(pull, relay, cache, _outcome(outcome), told, took, waited, bool(closed), load)
+    return i.RelayEnded(pull, relay, cache, _outcome(outcome), told, took, waited, bool(closed), load)
 
 
-def _probed(fields: bytes) -> i.Probed:
+def _probed(fields: bytes) -> i.ProbeEnded:
     _, outcome, cache, count = PROBED.unpack_from(fields)
-    return i.Probed(cache, _outcome(outcome), _loads(fields, PROBED.size, count))
+    return i.ProbeEnded(cache, _outcome(outcome), _loads(fields, PROBED.size, count))
 
 
 def _peer(fields: bytes) -> None:
@@ -165,8 +174,8 @@
     18: _pull,
     19: _began,
     20: _ended,
-    21: lambda fields: i.HungUp(*ID.unpack(fields)),
-    22: lambda fields: i.Rang(*ID.unpack(fields)),
+    21: lambda fields: i.ClientDisconnected(*ID.unpack(fields)),
+    22: lambda fields: i.TimerFired(*ID.unpack(fields)),
     23: _probed,
     24: _peer,
     25: _crash,
@@ -196,7 +205,7 @@
     return RECORD.pack(code, 2 + len(raw)) + INSTANCE.pack(len(raw)) + raw
 
 
-def bug(text: str) -> bytes:
+def write_failure(text: str) -> bytes:
     """The record that tells that the decision code has failed."""
     return _text(17, text)
 
@@ -205,13 +214,13 @@
     """Encode one action."""
     match action:
         case i.Relay():
-            how = action.join | action.only_held << 1 | action.parent_keeps_none << 2 | action.renew << 3
-            return _relay(29, action.id, action.source, action.cache, action.rank, how, action.time_out,
-                          action.oldest)  # fmt: skip
-        case i.Wake():
-            return _wake(20, action.mark, action.after)
+            how = action.join_fill | action.only_cached << 1 | action.parent_no_store << 2 | action.renew << 3
+            return _relay(29, action.id, action.source, action.cache, action.rank, how, action.timeout,
+                          action.max_age)  # fmt: skip
+        case i.StartTimer():
+            return _wake(20, action.timer_id, action.delay)
         case i.Shed():
-            return _shed(26, action.id, action.come_back_in)
+            return _shed(26, action.id, action.retry_after)
         case i.Error():
             return _error(24, action.id)
         case i.Recall():
@@ -220,7 +229,7 @@
             return _probe(23, action.cache)
         case i.Watch():
             return _watch(18, 1)
-        case i.Say():
+        case i.LogMessage():
             return _text(21, action.text)
 
 
--- a/cometseam/wirehost.py
+++ b/cometseam/wirehost.py
@@ -5,11 +5,19 @@
 from typing import BinaryIO
 
 from cometseam.interface import Recall, Settings
+from cometseam.json_section import FieldError, Section
 from cometseam.logic import Front
-from cometseam.reading import Faulty, Section
 from cometseam.settings import read_settings
-from cometseam.wire import Malformed
-from cometseam.wire.frames import Crash, Create, bug, read_frame, read_records, write_action, write_reply
+from cometseam.wire import WireFormatError
+from cometseam.wire.frames import (
+    Crash,
+    Create,
+    read_frame,
+    read_records,
+    write_action,
+    write_failure,
+    write_reply,
+)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
@@ -27,7 +35,7 @@
                 try:
                     actions = fronts[instance].handle(now, event)
                 except Exception as error:  # the wire has a record for a module that fails
-                    records.append((instance, bug(f"{type(error).__name__}: {error}")))
+                    records.append((instance, write_failure(f"{type(error).__name__}: {error}")))
                     continue
                 # What is sent is sent at once here: there is nothing to take back before it is written.
                 sent = (action for action in actions if not (isinstance(action, Recall) and action.if_unsent))
@@ -39,15 +47,15 @@
 def _settings(raw: bytes) -> Settings:
     try:
         return read_settings(Section(json.loads(raw)))
-    except (Faulty, ValueError, RecursionError) as error:
-        raise Malformed(f"settings: {error}") from error
+    except (FieldError, ValueError, RecursionError) as error:
+        raise WireFormatError(f"settings: {error}") from error
 
 
 def main() -> int:
     """Run until input ends; a malformed input ends it with one line on standard error."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as error:
+    except WireFormatError as error:
         print(f"cometseam: malformed input: {error}", file=sys.stderr)
         return 2
     return 0
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -23,26 +23,57 @@
 from cometseam.logic import Front
 
 MAPS = i.Workload(
-    quoted=300.0, stretch=2.0, cut_off=3000.0, gain=1.0, effect=i.Effect.REPEATABLE, group=i.Group.ALL,
-    window=5000.0, write=False, fresh=5000.0, grace=20000.0, stale_gain=0.7,
-)  # fmt: skip
+    target_latency=300.0,
+    target_latency_factor=2.0,
+    deadline=3000.0,
+    gain=1.0,
+    idempotency=i.Idempotency.REPEATABLE,
+    dedup_scope=i.DedupScope.ALL,
+    dedup_window=5000.0,
+    is_write=False,
+    fresh_ttl=5000.0,
+    stale_ttl=20000.0,
+    stale_gain=0.7,
+)
 SETTINGS = i.Settings(
-    workloads=(MAPS, replace(MAPS, effect=i.Effect.TAGGED, group=i.Group.CELL, window=1000.0),
-               replace(MAPS, effect=i.Effect.ONCE_ONLY), replace(MAPS, write=True)),
-    zone=1, hub_of=(0, 0, 0), fronts_by_zone=(0, 1, 1), fronts=2, parent_kind=1, origin_kind=2,
-    asks_for_list=False, sized=True, link_report=0, recalls=True, tells_retry=True,
-    longest_retry=1000.0, relay_limit=4, joins=True, pace=5.0,
-    cold_from=0.2, warm_after=10000.0, fall_multiple=2.0, fall_time=2000.0, parent_cold_from=0.1,
-    parent_warm_after=15000.0, parent_fall_multiple=2.0, purge_takes=6000.0,
-)  # fmt: skip
+    workloads=(
+        MAPS,
+        replace(MAPS, idempotency=i.Idempotency.TAGGED, dedup_scope=i.DedupScope.CELL, dedup_window=1000.0),
+        replace(MAPS, idempotency=i.Idempotency.ONCE_ONLY),
+        replace(MAPS, is_write=True),
+    ),
+    zone=1,
+    hub_of=(0, 0, 0),
+    fronts_by_zone=(0, 1, 1),
+    fronts=2,
+    parent_kind=1,
+    origin_kind=2,
+    asks_for_list=False,
+    weights_known=True,
+    link_load_index=0,
+    can_recall=True,
+    sends_retry_after=True,
+    max_retry_after=1000.0,
+    relay_limit=4,
+    joins_fills=True,
+    stream_rate=5.0,
+    slow_start_initial_share=0.2,
+    slow_start_duration=10000.0,
+    overload_factor=2.0,
+    overload_window=2000.0,
+    parent_slow_start_initial_share=0.1,
+    parent_slow_start_duration=15000.0,
+    parent_overload_factor=2.0,
+    purge_propagation=6000.0,
+)
 EDGES, PARENTS, ORIGIN = (11, 12, 13), (21, 22), 31
 SERVERS = (*EDGES, *PARENTS, ORIGIN)
 
 
-def line(cache: int, state: i.Lifecycle = i.Lifecycle.READY, ready_at: float = 0.0) -> i.Listed:
+def line(cache: int, state: i.Lifecycle = i.Lifecycle.READY, ready_at: float = 0.0) -> i.CacheEntry:
     """One line of the list; the cache's number tells its kind, and its last digit its cell."""
     kind = cache // 10 - 1
-    return i.Listed(cache, state, ready_at, cache % 10, 1 if kind == 0 else 0, kind, 8.0)
+    return i.CacheEntry(cache, state, ready_at, cache % 10, 1 if kind == 0 else 0, kind, 8.0)
 
 
 class Drive:
@@ -53,7 +84,7 @@
         self.trace: list[str] = []
         self.relays: dict[int, int] = {}
         self.last: dict[int, i.Relay] = {}
-        self.tell(i.Members(i.ListKind.CACHED, tuple(line(cache) for cache in caches)))
+        self.tell(i.CacheListUpdate(i.ListUpdateKind.CACHED, tuple(line(cache) for cache in caches)))
 
     def tell(self, event: i.Event, after: float = 0.0) -> None:
         """Pass an event on, and write down all that comes back but the timers."""
@@ -63,9 +94,9 @@
                 self.last[action.id] = action
                 self.relays[action.id] = self.relays.get(action.id, -1) + 1
                 text = f"relay to {action.cache} from {action.source} rank {action.rank}"
-                text += " held only" if action.only_held else ""
-                text += f" oldest {action.oldest:g}" if action.oldest else ""
-            elif isinstance(action, i.Wake):
+                text += " held only" if action.only_cached else ""
+                text += f" oldest {action.max_age:g}" if action.max_age else ""
+            elif isinstance(action, i.StartTimer):
                 continue
             else:
                 text = type(action).__name__.lower()
@@ -82,7 +113,9 @@
         """The pull's newest relay ends."""
         relay = self.last[number]
         closed = outcome is i.Outcome.OK
-        ended = i.Ended(number, self.relays[number], relay.cache, outcome, remark, after, 0.0, closed, load)
+        ended = i.RelayEnded(
+            number, self.relays[number], relay.cache, outcome, remark, after, 0.0, closed, load
+        )
         self.tell(ended, after)
 
     def lack(self, number: int, load: tuple[float, ...] = ()) -> None:
--- a/tests/standins/faults.py
+++ b/tests/standins/faults.py
@@ -131,7 +131,7 @@
                     self.seen.set()
                     self.seen = anyio.Event()
                     word = b"OK" if verdict.passed else b"STALE"
-                    await stream.send(word + b" %d\n" % verdict.highest)
+                    await stream.send(word + b" %d\n" % verdict.highest_token)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             pass
 
--- a/tests/standins/limits.py
+++ b/tests/standins/limits.py
@@ -13,7 +13,7 @@
 from itertools import count
 from random import Random
 
-from cometseam.limits import Ask, Coordinator, Grant, Share, Sharing
+from cometseam.limits import CapacityGrant, Coordinator, DemandReport, FrontShares, SharingTerms
 
 STEP = 20.0  # ms between two looks at the sum
 NAME = "limit"
@@ -24,7 +24,7 @@
     """One process: its share, its clock's rate and what it wishes for."""
 
     name: str
-    share: Share
+    share: FrontShares
     rate: float
     wish: Callable[[float], float]
     cut_until: float = 0.0
@@ -37,21 +37,21 @@
         return 5_000.0 + now * self.rate
 
     def may(self, now: float) -> float:
-        return self.share.may(NAME, self.clock(now))
+        return self.share.current_share(NAME, self.clock(now))
 
 
 @dataclass
 class World:
     """The fleet; `play` lets time pass and returns the highest sum of shares seen."""
 
-    terms: Sharing
+    terms: SharingTerms
     chance: Random
     late: float = 30.0  # ms, mean, of everything that is sent
     lost: float = 0.0  # share of what is sent
     now: float = 0.0
     fronts: list[Front] = field(default_factory=list)
-    asks: dict[str, Ask] = field(default_factory=dict)
-    grants: dict[str, Grant] = field(default_factory=dict)
+    asks: dict[str, DemandReport] = field(default_factory=dict)
+    grants: dict[str, CapacityGrant] = field(default_factory=dict)
     token: int = 0
     coordinator: Coordinator | None = None
     old: list[tuple[Coordinator, float]] = field(default_factory=list)  # paused, and until when
@@ -76,7 +76,7 @@
         """A process starts; `name`: the front that it is, where it ran before."""
         rate = 1.0 + self.terms.drift * (self.chance.random() - 0.5)
         number = len(self.fronts)
-        front = Front(f"{name or f'f{number}'}.{number:x}", Share(self.terms), rate, wish)
+        front = Front(f"{name or f'f{number}'}.{number:x}", FrontShares(self.terms), rate, wish)
         self.fronts.append(front)
         self.at(self.now + self.terms.refresh * self.chance.random(), lambda: self._ask(front))
         return front
@@ -84,12 +84,12 @@
     def kill(self, front: Front) -> None:
         front.alive, front.ended_at = False, self.now
         name = front.name
-        self.at(self.now + self.terms.lasts, lambda: self._gone(name))
+        self.at(self.now + self.terms.grant_ttl, lambda: self._gone(name))
 
     def _gone(self, name: str) -> None:
         self.asks.pop(name, None)
         if self.coordinator is not None:
-            self.coordinator.left(name)
+            self.coordinator.record_report_removed(name)
 
     def _ask(self, front: Front) -> None:
         if not front.alive:
@@ -97,10 +97,10 @@
         self.at(self.now + self.terms.refresh, lambda: self._ask(front))
         if self.now < front.paused_until:
             return
-        ask = front.share.ask({NAME: front.wish(self.now)}, front.clock(self.now))
+        ask = front.share.make_report({NAME: front.wish(self.now)}, front.clock(self.now))
         self.send(front, lambda: self._asked(front.name, ask))
 
-    def _asked(self, name: str, ask: Ask) -> None:
+    def _asked(self, name: str, ask: DemandReport) -> None:
         known = self.asks.get(name)
         if known is not None and known.number > ask.number:
             return  # the service takes a later write of the same front over an earlier: by its one connection
@@ -109,7 +109,7 @@
 
         def hear() -> None:
             if told is not None and told is self.coordinator:
-                told.heard(name, ask, self.now)
+                told.record_report(name, ask, self.now)
 
         self.send(None, hear)
 
@@ -118,9 +118,9 @@
         self.token += 1
         self.coordinator = Coordinator(self.terms, self.token)
         for name, grant in self.grants.items():
-            self.coordinator.found(name, grant, self.now)
+            self.coordinator.record_existing_grant(name, grant, self.now)
         for name, ask in self.asks.items():
-            self.coordinator.heard(name, ask, self.now)
+            self.coordinator.record_report(name, ask, self.now)
         self._share_out(self.coordinator)
 
     def pause_coordinator(self, until: float) -> None:
@@ -136,10 +136,10 @@
         self._write(coordinator)
 
     def _write(self, coordinator: Coordinator) -> None:
-        for name, grant in coordinator.share_out(self.now).items():
+        for name, grant in coordinator.allocate(self.now).items():
             self.send(None, lambda name=name, grant=grant: self._written(name, grant))  # type: ignore[misc]
 
-    def _written(self, name: str, grant: Grant) -> None:
+    def _written(self, name: str, grant: CapacityGrant) -> None:
         if grant.token != self.token:
             self.refused += 1
             return
@@ -150,11 +150,11 @@
         front = next(front for front in self.fronts if front.name == name)
         self.send(front, lambda: self._taken(front, grant))
 
-    def _taken(self, front: Front, grant: Grant) -> None:
+    def _taken(self, front: Front, grant: CapacityGrant) -> None:
         if front.alive and self.now < front.paused_until:
             self.at(front.paused_until, lambda: self._taken(front, grant))
         elif front.alive:
-            front.share.take(grant, front.clock(self.now))
+            front.share.apply_grant(grant, front.clock(self.now))
 
     def play(self, until: float, each: Callable[[], None] = lambda: None) -> float:
         """Let time pass; `each` is called at every look."""
@@ -189,5 +189,5 @@
 
     def processes(self) -> int:
         """How many processes count for the bound now: those alive, and those whose share is not over yet."""
-        over = self.terms.held + self.terms.lean + self.terms.window
+        over = self.terms.front_grant_ttl + self.terms.reduced_period + self.terms.window
         return sum(front.alive or self.now - front.ended_at < over for front in self.fronts)
--- a/tests/standins/link.py
+++ b/tests/standins/link.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from cometseam.levels import Machine, Scheme
-from cometseam.levels.scheme import share_of
+from cometseam.levels import LevelPolicy, LevelStateMachine
+from cometseam.levels.policy import shed_share_of
 
 STEP = 250.0  # ms
 
@@ -14,7 +14,7 @@
 class Shared:
     """Fronts on one link: each offers its part of the load, sheds by its level, hears of the link."""
 
-    scheme: Scheme
+    scheme: LevelPolicy
     fronts: int
     demand: Callable[[float], float]  # times the link's room that clients ask for, by time (ms)
     seed: int
@@ -25,13 +25,15 @@
     def run(self, length: float) -> None:
         """Let time pass."""
         chance = Random(self.seed)
-        machines = [Machine(self.scheme, Random(chance.getrandbits(32))) for _ in range(self.fronts)]
+        machines = [
+            LevelStateMachine(self.scheme, Random(chance.getrandbits(32))) for _ in range(self.fronts)
+        ]
         smooth = self.demand(0.0)
         now = 0.0
         while now < length:
             offered = 0.0
             for machine in machines:
-                shed = share_of(machine.measures(), 0, "")
+                shed = shed_share_of(machine.current_actions(), 0, "")
                 offered += self.demand(now) / self.fronts * (1.0 - self.sheds_part * shed)
             smooth += 0.25 * (offered - smooth)  # fronts hear of it by answers of the last seconds
             self.load.append(smooth)
--- a/tests/standins/scripted.py
+++ b/tests/standins/scripted.py
@@ -46,7 +46,7 @@
 class World:
     """One front among scripted caches."""
 
-    def __init__(self, settings: i.Settings, listed: tuple[i.Listed, ...], behave: Behave, seed: int = 1):
+    def __init__(self, settings: i.Settings, listed: tuple[i.CacheEntry, ...], behave: Behave, seed: int = 1):
         self.settings, self.behave, self.chance = settings, behave, Random(seed)
         self.front = Front(seed, settings)
         self.cells = {entry.cache: entry.cell for entry in listed}
@@ -59,7 +59,7 @@
         self.first = 0
         self.sent_at: list[tuple[float, bool]] = []  # of each first or further relay; further?
         self._failed: dict[int, int] = {}
-        self.tell(i.Members(i.ListKind.FULL, listed))
+        self.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, listed))
 
     def at(self, due: float, run: Callable[[], None]) -> None:
         """Have something done at a time."""
@@ -76,9 +76,11 @@
 
         def ask() -> None:
             rules = self.settings.workloads[pull.workload]
-            sending = pull.size_kb / self.settings.pace
-            quoted = self.now + min(rules.quoted + rules.stretch * sending, pull.left)
-            self.stories[pull.id] = Story(pull, self.now, self.now + pull.left, quoted)
+            sending = pull.size_kb / self.settings.stream_rate
+            quoted = self.now + min(
+                rules.target_latency + rules.target_latency_factor * sending, pull.time_left
+            )
+            self.stories[pull.id] = Story(pull, self.now, self.now + pull.time_left, quoted)
             self.tell(pull)
 
         self.at(due, ask)
@@ -93,7 +95,7 @@
                     story = self.stories[action.id]
                     if story.out == action.relay:
                         self._recalled(action)
-                case i.Wake():
+                case i.StartTimer():
                     self._wake(action)
                 case i.Shed():
                     self._final(action.id, "shed")
@@ -103,8 +105,8 @@
     def _recalled(self, recall: i.Recall) -> None:
         self.at(self.now, lambda: self._end(recall.id, recall.relay, Said(0.0, i.Outcome.CANCELLED)))
 
-    def _wake(self, wake: i.Wake) -> None:
-        self.at(self.now + wake.after, lambda: self.tell(i.Rang(wake.mark)))
+    def _wake(self, wake: i.StartTimer) -> None:
+        self.at(self.now + wake.delay, lambda: self.tell(i.TimerFired(wake.timer_id)))
 
     def _breach(self, pull: int, what: str) -> None:
         self.broken.append(f"{self.now:g} pull {pull}: {what}")
@@ -116,7 +118,7 @@
         if self.now > story.cut_off + 1e-6:
             self._breach(pull, f"{kind} past its cut-off")
         rules = self.settings.workloads[story.pull.workload]
-        if kind == "shed" and story.ran and rules.effect is i.Effect.ONCE_ONLY:
+        if kind == "shed" and story.ran and rules.idempotency is i.Idempotency.ONCE_ONLY:
             self._breach(pull, "shed though it may have run")
         story.finals.append((self.now, kind))
 
@@ -126,17 +128,17 @@
             self._breach(relay.id, "two relays out")
         if story.finals:
             self._breach(relay.id, "a relay after its answer")
-        if self.now >= story.cut_off or self.now + relay.time_out > story.cut_off + 1e-6:
+        if self.now >= story.cut_off or self.now + relay.timeout > story.cut_off + 1e-6:
             self._breach(relay.id, "a relay past its cut-off")
         rules = self.settings.workloads[story.pull.workload]
         if story.ran:
             at, where = story.ran[0]
-            if rules.effect is i.Effect.ONCE_ONLY:
+            if rules.idempotency is i.Idempotency.ONCE_ONLY:
                 self._breach(relay.id, "a once-only pull that may have run is sent again")
-            if rules.effect is i.Effect.TAGGED:
-                if self.now >= at + rules.window:
+            if rules.idempotency is i.Idempotency.TAGGED:
+                if self.now >= at + rules.dedup_window:
                     self._breach(relay.id, "a tagged pull is sent again past its window")
-                if rules.group is i.Group.CELL and self.cells[relay.cache] != self.cells[where]:
+                if rules.dedup_scope is i.DedupScope.CELL and self.cells[relay.cache] != self.cells[where]:
                     self._breach(relay.id, "a tagged pull is sent outside its group")
         number = len(story.sent)
         failed = self._failed.get(relay.id, 0) > 0
@@ -147,9 +149,9 @@
         story.sent.append((self.now, relay))
         story.out = number
         said = self.behave(self.now, relay, story.pull, self.chance)
-        if said.delay is None or said.delay > relay.time_out:
+        if said.delay is None or said.delay > relay.timeout:
             late = Said(0.0, i.Outcome.TIMEOUT)
-            self.at(self.now + relay.time_out, lambda: self._end(relay.id, number, late))
+            self.at(self.now + relay.timeout, lambda: self._end(relay.id, number, late))
         else:
             self.at(self.now + said.delay, lambda: self._end(relay.id, number, said))
 
@@ -169,13 +171,15 @@
         if served:
             self._final(pull, "finished")
         self.tell(
-            i.Ended(pull, number, relay.cache, said.outcome, said.remark, self.now - sent, 0.0, served, ())
+            i.RelayEnded(
+                pull, number, relay.cache, said.outcome, said.remark, self.now - sent, 0.0, served, ()
+            )
         )
 
     def judge(self) -> list[str]:
         """Return each breach of a rule, pulls without an answer among them."""
         lost = [f"pull {number}: no answer" for number, story in self.stories.items() if not story.finals]
-        held = [f"pull {number}: still held by the module" for number in self.front.held]
+        held = [f"pull {number}: still held by the module" for number in self.front.pending]
         return [*self.broken, *lost, *held]
 
     def gain(self) -> float:
--- a/tests/standins/skewed.py
+++ b/tests/standins/skewed.py
@@ -3,17 +3,17 @@
 import sys
 
 from cometseam.__main__ import main
-from cometseam.coordination import elect, party
+from cometseam.coordination import election, fleet_member
 
 
 def skew(rate: float) -> None:
     """Have the fleet's part go by a clock that runs `rate` times as fast from now on."""
-    true, began = elect.boot_time, elect.boot_time()
+    true, began = election.boot_time, election.boot_time()
 
     def skewed() -> float:
         return began + rate * (true() - began)
 
-    party.boot_time = elect.boot_time = skewed
+    fleet_member.boot_time = election.boot_time = skewed
 
 
 if __name__ == "__main__":
--- a/tests/standins/unguarded.py
+++ b/tests/standins/unguarded.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from cometseam.discovery.confirmation import Confirmation
-from cometseam.interface import Effect
-from cometseam.protocol.changelog import Listing, Purge
+from cometseam.discovery.confirmation import ConfirmationTracker
+from cometseam.interface import Idempotency
+from cometseam.protocol.discovery_events import EndpointList, Purge
 from cometseam.protocol.frames import write_shed
 from cometseam.protocol.resp import write_request
 from cometseam.routing.actor import Router
@@ -30,19 +30,19 @@
 def no_confirmation() -> None:
     """A front that starts, and takes a while for it, sends by the list of its configuration."""
     time.sleep(SLOW_START)
-    Confirmation.wait = lambda self, now: 0.0  # type: ignore[method-assign]
+    ConfirmationTracker.remaining_wait = lambda self, now: 0.0  # type: ignore[method-assign]
 
 
 def without(kind: type) -> Callable[[], None]:
     """Events of one kind are not acted on."""
 
     def patch() -> None:
-        change = Router.change
+        change = Router.apply_changes
 
-        def some(self: Router, changes: list[Any], is_news: bool = True) -> None:
-            change(self, [each for each in changes if not is_news or not isinstance(each, kind)], is_news)
+        def some(self: Router, changes: list[Any], is_live: bool = True) -> None:
+            change(self, [each for each in changes if not is_live or not isinstance(each, kind)], is_live)
 
-        Router.change = some  # type: ignore[method-assign]
+        Router.apply_changes = some  # type: ignore[method-assign]
 
     return patch
 
@@ -67,23 +67,23 @@
 
 def repeats_all() -> None:
     """A class whose requests may run once only is repeated as others are."""
-    EFFECTS["at_most_once"] = Effect.REPEATABLE
+    EFFECTS["at_most_once"] = Idempotency.REPEATABLE
 
 
 def no_refusals() -> None:
     """What is given up has no answer."""
-    client.Client.shed = lambda self, stream, come_back_in: None  # type: ignore[method-assign]
+    client.Client.answer_shed = lambda self, stream, come_back_in: None  # type: ignore[method-assign]
 
 
 def answers_twice() -> None:
     """What is served is answered once more."""
-    served = client.Client.served
+    served = client.Client.answer_served
 
     def twice(self: client.Client, stream: int, copy_holds: bool, body: Any) -> None:
         served(self, stream, copy_holds, body)
         self._connection.send([write_shed(stream, 0.0)])
 
-    client.Client.served = twice  # type: ignore[method-assign]
+    client.Client.answer_served = twice  # type: ignore[method-assign]
 
 
 def ends_badly() -> None:
@@ -101,7 +101,7 @@
 held: list[int] = []
 GUARDS: dict[str, Callable[[], None]] = {
     "answered": no_refusals, "answered once": answers_twice, "one attempt at a time": no_stop,
-    "no effect twice": repeats_all, "drain": without(Listing), "drain at a start": no_confirmation,
+    "no effect twice": repeats_all, "drain": without(EndpointList), "drain at a start": no_confirmation,
     "purge": without(Purge), "client gone": no_look_at_clients, "time left": too_much_time,
     "process": ends_badly, "resources": wastes_descriptors,
 }  # fmt: skip
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -12,28 +12,28 @@
 from cometseam import interface as i
 from cometseam.config import Config, decode
 from cometseam.counters import COUNTERS
+from cometseam.json_section import Section
 from cometseam.logic import Front
 from cometseam.mailbox import Mailbox
 from cometseam.program import _sample
-from cometseam.protocol.changelog import Change, Listing, Purge
-from cometseam.protocol.frames import Frame, Order
+from cometseam.protocol.discovery_events import DiscoveryEvent, EndpointList, Purge
+from cometseam.protocol.frames import Frame, PullRequest
 from cometseam.protocol.resp import Command
-from cometseam.reading import Section
 from cometseam.routing.actor import Router
 from cometseam.routing.messages import RequestReceived
-from cometseam.routing.translate import Roster
-from cometseam.transport.attempt import Ask, End, GiveUp, How
-from cometseam.transport.buffers import SIZE, Pool
+from cometseam.routing.translate import EndpointTable
+from cometseam.transport.attempt import Attempt, AttemptEnded, EndReason, GiveUp
+from cometseam.transport.buffers import BUFFER_SIZE_BYTES, BufferPool
 from cometseam.transport.client import Client
 from cometseam.transport.clock import Clock, Timers
 from cometseam.transport.peer import Channel, Peer
-from cometseam.transport.surroundings import Surroundings
+from cometseam.transport.resources import ProcessResources
 from tests.drive import SAMPLE, News, resp
 
 pytestmark = pytest.mark.anyio
 CONFIG: Config = decode(Section(SAMPLE), Section({}))
 HANGS = 2
-LISTING = cast(Listing, CONFIG.known[0])
+LISTING = cast(EndpointList, CONFIG.initial_events[0])
 
 
 @pytest.fixture
@@ -49,22 +49,22 @@
         self.gone: set[int] = set()  # streams that it no longer waits for
         self.news = News()
 
-    def served(self, stream: int, copy_holds: bool, body: object) -> None:
+    def answer_served(self, stream: int, copy_holds: bool, body: object) -> None:
         self._answer(f"{stream} served")
 
-    def shed(self, stream: int, come_back_in: float) -> None:
+    def answer_shed(self, stream: int, come_back_in: float) -> None:
         self._answer(f"{stream} shed")
 
-    def errored(self, stream: int, why: str = "") -> None:
+    def answer_errored(self, stream: int, why: str = "") -> None:
         self._answer(f"{stream} errored")
 
     def awaits(self, stream: int) -> bool:
         return stream not in self.gone
 
-    def look(self) -> None:
+    def withdraw_if_disconnected(self) -> None:
         """It is there until it says otherwise."""
 
-    def unusable(self, stream: int, why: str) -> None:
+    def reject_input(self, stream: int, why: str) -> None:
         self._answer(f"{stream} unusable")
 
     def _answer(self, text: str) -> None:
@@ -89,25 +89,27 @@
         return cast(list[i.Action], self.front.handle(now, event))
 
 
-def around() -> Surroundings:
+def around() -> ProcessResources:
     clock = Clock()
-    return Surroundings(CONFIG.links, Pool(1 << 22), clock, Timers(clock), connections=8)
+    return ProcessResources(CONFIG.links, BufferPool(1 << 22), clock, Timers(clock), max_connections=8)
 
 
-def order(left: float = 2000.0, workload: str = "maps", id: int = 0) -> Order:
-    return Order(f"{id:016x}", workload, left, "7" * 16, 0, 17, 40.0, "", Frame(16, 1), 0)
+def order(left: float = 2000.0, workload: str = "maps", id: int = 0) -> PullRequest:
+    return PullRequest(f"{id:016x}", workload, left, "7" * 16, 0, 17, 40.0, "", Frame(16, 1), 0)
 
 
 def router(front: Any, most: int = 100) -> Router:
     return Router(front, CONFIG.names, most, around())
 
 
-def listing(*, address: tuple[str, int] = ("127.0.0.1", 1), state: i.Lifecycle = i.Lifecycle.READY) -> Change:
+def listing(
+    *, address: tuple[str, int] = ("127.0.0.1", 1), state: i.Lifecycle = i.Lifecycle.READY
+) -> DiscoveryEvent:
     lines = tuple(
         type(line)(line.name, address, line.zone, line.kind, line.cell, state, line.weight, line.ready_at)
-        for line in LISTING.lines
+        for line in LISTING.entries
     )
-    return Listing(1, True, lines)
+    return EndpointList(1, True, lines)
 
 
 async def run(actor: Router, test: Callable[[], Any]) -> None:
@@ -120,16 +122,16 @@
             tasks.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("fails_on", [i.Pull, i.Ended])
+@pytest.mark.parametrize("fails_on", [i.Pull, i.RelayEnded])
 async def test_a_module_that_fails_on_an_event_has_its_pull_answered(fails_on: type[i.Event]) -> None:
     actor, caller = router(Failing(Front(1, CONFIG.settings), fails_on)), Caller()
 
     async def test() -> None:
-        actor.change([listing()])
+        actor.apply_changes([listing()])
         for stream in (1, 2):
-            assert actor.take(cast(Client, caller), stream, order(id=stream))
+            assert actor.submit_pull(cast(Client, caller), stream, order(id=stream))
         assert await caller.until(2) == ["1 errored", "2 errored"]
-        assert not actor.owed
+        assert not actor.pending_count
 
     await run(actor, test)
 
@@ -142,7 +144,7 @@
     actor, caller = router(Forgetful()), Caller()
 
     async def test() -> None:
-        actor.take(cast(Client, caller), 1, order(left=30.0))
+        actor.submit_pull(cast(Client, caller), 1, order(left=30.0))
         assert await caller.until(1) == ["1 errored"]
 
     await run(actor, test)
@@ -150,13 +152,13 @@
 
 async def test_beyond_its_bounds_it_takes_no_pull_and_unknown_workloads_are_errors() -> None:
     actor, caller = router(Front(1, CONFIG.settings), most=2), Caller()
-    assert actor.take(cast(Client, caller), 1, order(workload="unheard"))
-    assert actor.take(cast(Client, caller), 2, order(workload="unheard"))
-    assert not actor.take(cast(Client, caller), 3, order())
+    assert actor.submit_pull(cast(Client, caller), 1, order(workload="unheard"))
+    assert actor.submit_pull(cast(Client, caller), 2, order(workload="unheard"))
+    assert not actor.submit_pull(cast(Client, caller), 3, order())
 
     async def test() -> None:
         assert await caller.until(2) == ["1 unusable", "2 unusable"]
-        assert actor.take(cast(Client, caller), 3, order())
+        assert actor.submit_pull(cast(Client, caller), 3, order())
 
     await run(actor, test)
 
@@ -170,13 +172,13 @@
     ],
     ids=["object", "group", "drain"],
 )
-async def test_what_waits_unsent_is_decided_again_at_a_purge_or_a_drain(later: Change) -> None:
-    ends: list[i.Ended] = []
+async def test_what_waits_unsent_is_decided_again_at_a_purge_or_a_drain(later: DiscoveryEvent) -> None:
+    ends: list[i.RelayEnded] = []
     news = News()
 
     class Noting(Front):
         def handle(self, now: float, event: i.Event) -> list[i.Action]:
-            if isinstance(event, i.Ended):
+            if isinstance(event, i.RelayEnded):
                 ends.append(event)
                 news.tell()
             return super().handle(now, event)
@@ -185,12 +187,12 @@
 
     async def test() -> None:
         await anyio.lowlevel.checkpoint()
-        actor.change([listing()])
+        actor.apply_changes([listing()])
         # The peer has no turn between the two: its relay waits for a connection when the change comes in.
         actor._handle(RequestReceived(cast(Client, caller), 1, order(), actor._around.clock.now()))
-        actor.change([later])
+        actor.apply_changes([later])
         await news.until(lambda: ends)
-        assert ends[0].outcome is i.Outcome.MOOT
+        assert ends[0].outcome is i.Outcome.NOT_SENT
 
     await run(actor, test)
 
@@ -206,20 +208,20 @@
         return await connect(channel)
 
     monkeypatch.setattr(Channel, "_connect", connect_or_hang)
-    ends: list[End] = []
+    ends: list[AttemptEnded] = []
     news = News()
     here = around()
     peers = []
     for address in (("127.0.0.1", HANGS), ("127.0.0.1", 1)):
 
-        def report(end: End) -> None:
+        def report(end: AttemptEnded) -> None:
             ends.append(end)
             news.tell()
 
         peers.append(Peer("p", address, here, report, Mailbox(2)))
     command = Command("0" * 16, "maps", "7" * 16, 0, "", 0, 0.0, False, False, False, False, "")
     now = here.clock.now()
-    asks = [Ask(number, 0, command, [], now, now + 2000.0) for number in range(2)]
+    asks = [Attempt(number, 0, command, [], now, now + 2000.0) for number in range(2)]
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
             for ask, peer in zip(asks, peers, strict=True):
@@ -227,19 +229,20 @@
                 tasks.start_soon(peer.run)
             tasks.start_soon(here.timers.run)
             await news.until(lambda: len(ends) == 1)
-            assert ends[0].ask is asks[1] and ends[0].how is How.UNCONNECTED  # refused: told at once
-            assert here.clock.now() - now < CONFIG.links.connect_within
+            # Refused: told at once.
+            assert ends[0].attempt is asks[1] and ends[0].reason is EndReason.UNCONNECTED
+            assert here.clock.now() - now < CONFIG.links.connect_timeout
             peers[0].mailbox.push(GiveUp(asks[0]))
             await news.until(lambda: len(ends) == 2)
-            assert ends[1].ask is asks[0] and ends[1].how is How.UNSENT
+            assert ends[1].attempt is asks[0] and ends[1].reason is EndReason.UNSENT
             tasks.cancel_scope.cancel()
 
 
 async def test_a_peer_that_takes_no_bytes_is_left_and_its_relay_never_ran() -> None:
-    ends: list[End] = []
+    ends: list[AttemptEnded] = []
     news = News()
 
-    def report(end: End) -> None:
+    def report(end: AttemptEnded) -> None:
         ends.append(end)
         news.tell()
 
@@ -251,18 +254,18 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(peer.run)
             tasks.start_soon(here.timers.run)
-            assert peer.mailbox.offer(Ask(1, 0, command, [memoryview(bytes(1 << 24))], now, now + 200.0))
+            assert peer.mailbox.offer(Attempt(1, 0, command, [memoryview(bytes(1 << 24))], now, now + 200.0))
             await news.until(lambda: ends)
-            assert ends[0].how is How.UNCONNECTED and peer.is_idle
+            assert ends[0].reason is EndReason.UNCONNECTED and peer.is_idle
             tasks.cancel_scope.cancel()
     listener.close()
 
 
 async def test_what_was_not_written_whole_when_a_connection_broke_takes_another() -> None:
-    ends: list[End] = []
+    ends: list[AttemptEnded] = []
     news, here, size, served = News(), around(), 1 << 24, 0
 
-    def report(end: End) -> None:
+    def report(end: AttemptEnded) -> None:
         ends.append(end)
         news.tell()
 
@@ -287,16 +290,16 @@
             for actor in (peer.run, here.timers.run):
                 tasks.start_soon(actor)
             tasks.start_soon(listener.serve, serve)
-            assert peer.mailbox.offer(Ask(1, 0, command, [memoryview(bytes(size))], now, now + 9000.0))
+            assert peer.mailbox.offer(Attempt(1, 0, command, [memoryview(bytes(size))], now, now + 9000.0))
             await news.until(lambda: ends)
-            assert ends[0].how is How.ANSWERED and served == 2
+            assert ends[0].reason is EndReason.ANSWERED and served == 2
             tasks.cancel_scope.cancel()
 
 
 async def test_a_pull_withdrawn_before_its_turn_does_not_reach_the_module() -> None:
     actor, caller = router(Front(1, CONFIG.settings)), Caller()
     for stream in (1, 2):
-        assert actor.take(cast(Client, caller), stream, order(id=stream))
+        assert actor.submit_pull(cast(Client, caller), stream, order(id=stream))
     caller.gone.add(1)
     actor.hang_up(cast(Client, caller), 1)
 
@@ -305,16 +308,16 @@
 
     had = COUNTERS.counts["pull.taken"]
     await run(actor, test)
-    assert COUNTERS.counts["pull.taken"] == had + 1 and not actor.owed
+    assert COUNTERS.counts["pull.taken"] == had + 1 and not actor.pending_count
 
 
 async def test_the_module_is_told_how_late_the_loop_is() -> None:
-    told: list[i.Lagged] = []
+    told: list[i.LoopLagged] = []
     news = News()
 
     class Noting(Front):
         def handle(self, now: float, event: i.Event) -> list[i.Action]:
-            if isinstance(event, i.Lagged):
+            if isinstance(event, i.LoopLagged):
                 told.append(event)
                 news.tell()
             return super().handle(now, event)
@@ -326,23 +329,27 @@
             tasks.start_soon(_sample, actor._around.clock, actor)
             await anyio.lowlevel.checkpoint()
             time.sleep(0.2)  # the loop stands still
-            await news.until(lambda: any(event.by >= 100.0 for event in told))
+            await news.until(lambda: any(event.lag >= 100.0 for event in told))
             tasks.cancel_scope.cancel()
 
     await run(actor, test)
 
 
 def test_a_pool_takes_over_another_bound_while_buffers_are_lent() -> None:
-    pool = Pool(32 * SIZE)
-    first, second = pool.room(20 * SIZE), pool.room(12 * SIZE)
-    assert first and second and pool.room(1) is None
-    pool.resize(16 * SIZE)
+    pool = BufferPool(32 * BUFFER_SIZE_BYTES)
+    first, second = pool.allocate(20 * BUFFER_SIZE_BYTES), pool.allocate(12 * BUFFER_SIZE_BYTES)
+    assert first and second and pool.allocate(1) is None
+    pool.resize(16 * BUFFER_SIZE_BYTES)
     second.free()
-    assert pool.room(1) is None and pool.out == 20
+    assert pool.allocate(1) is None and pool.in_use == 20
     first.free()
-    assert pool.out == 0 and pool.room(17 * SIZE) is None and pool.room(16 * SIZE)
-    pool.resize(17 * SIZE)
-    assert pool.room(1)
+    assert (
+        pool.in_use == 0
+        and pool.allocate(17 * BUFFER_SIZE_BYTES) is None
+        and pool.allocate(16 * BUFFER_SIZE_BYTES)
+    )
+    pool.resize(17 * BUFFER_SIZE_BYTES)
+    assert pool.allocate(1)
 
 
 async def test_a_mailbox_is_bounded_and_lets_what_is_urgent_pass() -> None:
@@ -364,14 +371,14 @@
         return run
 
     now = clock.now()
-    timers.at(now + 40.0, note("later"))
-    timers.at(now + 20.0, note("cancelled")).cancel()
+    timers.call_at(now + 40.0, note("later"))
+    timers.call_at(now + 20.0, note("cancelled")).cancel()
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(timers.run)
             await anyio.lowlevel.checkpoint()
-            timers.at(now + 10.0, note("sooner"))
-            timers.at(now + 15.0, lambda: done.remove("it is not there"))
+            timers.call_at(now + 10.0, note("sooner"))
+            timers.call_at(now + 15.0, lambda: done.remove("it is not there"))
             await news.until(lambda: len(done) == 2)
             tasks.cancel_scope.cancel()
     assert done == ["sooner", "later"]
@@ -379,12 +386,12 @@
 
 def test_a_cache_has_one_number_on_all_fronts_whatever_order_it_comes_in() -> None:
     def numbers(lines: tuple[Any, ...]) -> dict[str, int]:
-        entries = Roster().take(Listing(1, True, lines), 0.0).entries
+        entries = EndpointTable().apply_listing(EndpointList(1, True, lines), 0.0).entries
         return {line.name: entry.cache for line, entry in zip(lines, entries, strict=True)}
 
-    assert numbers(LISTING.lines) == numbers(LISTING.lines[::-1])
-    assert len(set(numbers(LISTING.lines).values())) == len(LISTING.lines)
-    roster = Roster()
-    (first, *_) = roster.take(Listing(1, True, LISTING.lines[:1]), 0.0).entries
-    roster.take(listing(state=i.Lifecycle.GONE), 0.0)  # type: ignore[arg-type]
-    assert not len(roster) and roster.take(LISTING, 0.0).entries[0].cache == first.cache
+    assert numbers(LISTING.entries) == numbers(LISTING.entries[::-1])
+    assert len(set(numbers(LISTING.entries).values())) == len(LISTING.entries)
+    roster = EndpointTable()
+    (first, *_) = roster.apply_listing(EndpointList(1, True, LISTING.entries[:1]), 0.0).entries
+    roster.apply_listing(listing(state=i.Lifecycle.GONE), 0.0)  # type: ignore[arg-type]
+    assert not len(roster) and roster.apply_listing(LISTING, 0.0).entries[0].cache == first.cache
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,8 +14,8 @@
 import anyio
 import pytest
 
-from cometseam.protocol.changelog import Line, Listing, Purge
-from cometseam.routing.translate import NEWS_AGE, Roster, purged
+from cometseam.protocol.discovery_events import EndpointEntry, EndpointList, Purge
+from cometseam.routing.translate import MAX_LIVE_EVENT_AGE_MS, EndpointTable, purge_event
 from cometseam.transport.clock import Clock
 from tests.drive import World, order, world
 from tests.test_actors import LISTING
@@ -113,8 +113,8 @@
     assert clock.now() == 5_001_000.0
 
 
-def line(stamp: float, name: str = "c") -> Line:
-    return replace(LISTING.lines[0], name=name, ready_at=stamp)
+def line(stamp: float, name: str = "c") -> EndpointEntry:
+    return replace(LISTING.entries[0], name=name, ready_at=stamp)
 
 
 @pytest.mark.parametrize("wrong_by", [-3_600_000.0, 3_600_000.0], ids=["an hour slow", "an hour fast"])
@@ -124,18 +124,26 @@
     """The stamps are true; `now` is this machine's, as it was when the process started."""
     true_now = 1e12
     now, started = true_now + wrong_by, true_now - 3000.0
-    roster = Roster()
-    told = roster.take(Listing(2, False, (line(started),)), now).entries[0].ready_at
-    assert now - NEWS_AGE <= told <= now and told >= min(started + wrong_by - NEWS_AGE, now - NEWS_AGE)
-    again = roster.take(Listing(3, False, (line(started),)), now + 5000.0).entries[0].ready_at
+    roster = EndpointTable()
+    told = roster.apply_listing(EndpointList(2, False, (line(started),)), now).entries[0].ready_at
+    assert now - MAX_LIVE_EVENT_AGE_MS <= told <= now and told >= min(
+        started + wrong_by - MAX_LIVE_EVENT_AGE_MS, now - MAX_LIVE_EVENT_AGE_MS
+    )
+    again = roster.apply_listing(EndpointList(3, False, (line(started),)), now + 5000.0).entries[0].ready_at
     assert again == told  # one start is one instant
-    anew = roster.take(Listing(4, False, (line(started + 4000.0),)), now + 5000.0).entries[0].ready_at
+    anew = (
+        roster.apply_listing(EndpointList(4, False, (line(started + 4000.0),)), now + 5000.0)
+        .entries[0]
+        .ready_at
+    )
     assert anew > told
-    assert 0.0 <= purged(Purge(5, 7, 0, started), now).age <= NEWS_AGE
+    assert 0.0 <= purge_event(Purge(5, 7, 0, started), now).age <= MAX_LIVE_EVENT_AGE_MS
 
 
 def test_a_start_in_the_list_that_a_front_starts_with_keeps_its_age_and_none_lies_in_the_future() -> None:
-    roster, now = Roster(), 1e12
-    listed = roster.take(Listing(1, True, (line(now - 60_000.0), line(now + 60_000.0, "d"))), now, False)
+    roster, now = EndpointTable(), 1e12
+    listed = roster.apply_listing(
+        EndpointList(1, True, (line(now - 60_000.0), line(now + 60_000.0, "d"))), now, False
+    )
     assert [entry.ready_at for entry in listed.entries] == [now - 60_000.0, now]
-    assert purged(Purge(2, 7, 0, now - 60_000.0), now, False).age == 60_000.0
+    assert purge_event(Purge(2, 7, 0, now - 60_000.0), now, False).age == 60_000.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,20 +16,20 @@
 
 from cometseam import interface as i
 from cometseam.counters import COUNTERS
-from cometseam.discovery import DiscoveryClient, PollSchedule, PollTerms
+from cometseam.discovery import DiscoveryClient, PollPolicy, PollSchedule
 from cometseam.interface import Lifecycle
 from cometseam.logic import Front
 from cometseam.mailbox import Mailbox
-from cometseam.protocol.changelog import Listing
+from cometseam.protocol.discovery_events import EndpointList
 from cometseam.protocol.resp import Command
 from cometseam.routing.actor import Router
-from cometseam.transport.attempt import Ask, End, GiveUp, How
-from cometseam.transport.buffers import SIZE, Pool
+from cometseam.transport.attempt import Attempt, AttemptEnded, EndReason, GiveUp
+from cometseam.transport.buffers import BUFFER_SIZE_BYTES, BufferPool
 from cometseam.transport.client import Client, Listener
 from cometseam.transport.clock import Clock, Timers
 from cometseam.transport.connection import Connection
 from cometseam.transport.peer import Peer
-from cometseam.transport.surroundings import Surroundings
+from cometseam.transport.resources import ProcessResources
 from tests.drive import Cache, News, order, resp
 from tests.test_actors import CONFIG, LISTING, Caller
 from tests.test_actors import order as ordered
@@ -48,11 +48,11 @@
     """One peer with its real connections, a stand-in cache behind them, and a gate on each connection."""
 
     def __init__(self, tasks: TaskGroup, connections: int, connect_within: float) -> None:
-        links = replace(CONFIG.links, connect_within=connect_within)
+        links = replace(CONFIG.links, connect_timeout=connect_within)
         clock = Clock()
-        self.around = Surroundings(links, Pool(1 << 22), clock, Timers(clock), connections)
+        self.around = ProcessResources(links, BufferPool(1 << 22), clock, Timers(clock), connections)
         self.tasks, self.news = tasks, News()
-        self.ends: list[End] = []
+        self.ends: list[AttemptEnded] = []
         self.cache = Cache("c", self.news)
         self.peer: Peer
 
@@ -68,23 +68,23 @@
         self.tasks.start_soon(self.peer.run)
         self.tasks.start_soon(self.around.timers.run)
 
-    def report(self, end: End) -> None:
+    def report(self, end: AttemptEnded) -> None:
         self.ends.append(end)
         self.news.tell()
 
     def ask(
         self, number: int, body: int = 0, lasts: float = 9000.0, tag: str = "", begin_by: float = 9000.0
-    ) -> Ask:
+    ) -> Attempt:
         command = Command(f"{number:016x}", "maps", "7" * 16, 0, "", 0, 0.0, False, False, False, False, tag)
         now = self.around.clock.now()
-        ask = Ask(number, 0, command, [memoryview(bytes(body))] if body else [], now, now + lasts)
+        ask = Attempt(number, 0, command, [memoryview(bytes(body))] if body else [], now, now + lasts)
         ask.begin_by = now + begin_by
         assert self.peer.mailbox.offer(ask)
         return ask
 
-    async def ended(self, count: int = 1) -> list[How]:
+    async def ended(self, count: int = 1) -> list[EndReason]:
         await self.news.until(lambda: len(self.ends) >= count)
-        return [end.how for end in self.ends]
+        return [end.reason for end in self.ends]
 
 
 @asynccontextmanager
@@ -110,17 +110,17 @@
     recalls: bool, leaves: str, gates: list[anyio.Event]
 ) -> None:
     """Guards the 0.3 s rule: 12 cases each, and not one is sent on, however late its connection comes up."""
-    cases, settings = 12, replace(CONFIG.settings, recalls=recalls)
+    cases, settings = 12, replace(CONFIG.settings, can_recall=recalls)
     async with one_peer() as here:
         await here.start()
         actor = Router(Front(1, settings), CONFIG.names, 100, here.around)
-        lines = tuple(replace(line, address=here.address) for line in LISTING.lines)
-        actor.change([Listing(1, True, lines)])
+        lines = tuple(replace(line, address=here.address) for line in LISTING.entries)
+        actor.apply_changes([EndpointList(1, True, lines)])
         caller, had = Caller(), COUNTERS.counts["relay.sent"]
         here.tasks.start_soon(actor.run)
         await turns()
         for stream in range(1, cases + 1):
-            assert actor.take(cast(Client, caller), stream, ordered(id=stream))
+            assert actor.submit_pull(cast(Client, caller), stream, ordered(id=stream))
             if leaves == "while a connection comes up":
                 await turns()
             caller.gone.add(stream)
@@ -132,7 +132,7 @@
         for gate in gates:
             gate.set()
         # A pull that nobody has withdrawn goes over the same connection: what was to be written is by then.
-        assert actor.take(cast(Client, caller), 99, ordered(id=99))
+        assert actor.submit_pull(cast(Client, caller), 99, ordered(id=99))
         await turns()
         for gate in gates:
             gate.set()
@@ -140,7 +140,7 @@
         assert asked.id == f"{99:016x}"
         await asked.answer("DONE", f"tag={TAG},minted=1", b"x")
         assert await caller.until(1) == ["99 served"]
-        assert [asked.id for asked in here.cache.asked] == [f"{99:016x}"] and not actor.owed
+        assert [asked.id for asked in here.cache.asked] == [f"{99:016x}"] and not actor.pending_count
 
 
 @pytest.mark.parametrize("wanted", [True, False], ids=["wanted", "left, drained or purged meanwhile"])
@@ -173,7 +173,7 @@
             await turns()
             assert not here.ends  # what has begun is not taken back
         go.set()
-        assert await here.ended() == [How.ANSWERED if wanted else How.UNSENT]
+        assert await here.ended() == [EndReason.ANSWERED if wanted else EndReason.UNSENT]
         assert served == (2 if wanted else 1)
 
 
@@ -214,10 +214,10 @@
             await turns()
         assert not second.outgoing.begun and not first.written_at  # it waits behind what is stuck
         here.peer.mailbox.push(GiveUp(second, if_unsent=True))
-        assert await here.ended() == [How.UNSENT]
+        assert await here.ended() == [EndReason.UNSENT]
         go.set()
         await here.news.until(lambda: len(got) > BIG)
-        here.peer._stop(first, How.GIVEN_UP)
+        here.peer._stop(first, EndReason.GIVEN_UP)
         assert f"{2:016x}".encode() not in got
 
 
@@ -234,12 +234,12 @@
         while third.outgoing is None:
             await turns()
         assert second.outgoing and not second.outgoing.begun  # it waits behind what is stuck
-        second.awaited = lambda: False
+        second.is_client_waiting = lambda: False
         go.set()
-        assert await here.ended() == [How.UNSENT] and here.ends[0].ask is second
+        assert await here.ended() == [EndReason.UNSENT] and here.ends[0].attempt is second
         await here.news.until(lambda: f"{3:016x}".encode() in got)
         assert f"{2:016x}".encode() not in got and second.written_at == 0.0
-        assert first.channel is not None and set(first.channel.asks) == {f"{1:016x}", f"{3:016x}"}
+        assert first.channel is not None and set(first.channel.attempts) == {f"{1:016x}", f"{3:016x}"}
 
 
 @pytest.mark.parametrize(
@@ -251,11 +251,11 @@
     change: dict[str, Any], gates: list[anyio.Event]
 ) -> None:
     """Guards against a relay to an address that is another's by now, and past a cold cache's budget."""
-    ends: list[i.Ended] = []
+    ends: list[i.RelayEnded] = []
 
     class Noting(Front):
         def handle(self, now: float, event: i.Event) -> list[i.Action]:
-            if isinstance(event, i.Ended):
+            if isinstance(event, i.RelayEnded):
                 ends.append(event)
                 here.news.tell()
             return super().handle(now, event)
@@ -263,18 +263,18 @@
     async with one_peer() as here:
         await here.start()
         actor = Router(Noting(1, CONFIG.settings), CONFIG.names, 100, here.around)
-        lines = tuple(replace(line, address=here.address) for line in LISTING.lines)
-        actor.change([Listing(1, True, lines)])
+        lines = tuple(replace(line, address=here.address) for line in LISTING.entries)
+        actor.apply_changes([EndpointList(1, True, lines)])
         here.tasks.start_soon(actor.run)
-        assert actor.take(cast(Client, Caller()), 1, ordered(id=1))
+        assert actor.submit_pull(cast(Client, Caller()), 1, ordered(id=1))
         await turns()
         assert len(gates) == 1 and not ends  # it waits for the connection
-        out = actor._open[1].out
+        out = actor._open[1].in_flight
         assert out is not None
-        actor.change([Listing(2, False, tuple(replace(line, **change) for line in lines))])
+        actor.apply_changes([EndpointList(2, False, tuple(replace(line, **change) for line in lines))])
         await here.news.until(lambda: ends)
-        assert ends[0].outcome is i.Outcome.MOOT and not here.cache.asked
-        assert here.around.clock.now() < out.ask.due  # it did not merely time out
+        assert ends[0].outcome is i.Outcome.NOT_SENT and not here.cache.asked
+        assert here.around.clock.now() < out.attempt.deadline  # it did not merely time out
 
 
 # Connections to caches
@@ -303,11 +303,11 @@
     async with one_peer(connections=1, connect_within=60.0) as here:
         await here.start(dribbles)
         here.ask(1, lasts=100.0)
-        assert await here.ended() == [How.TIMED_OUT]
+        assert await here.ended() == [EndReason.TIMED_OUT]
         here.ask(2)
         asked = await here.cache.next()
         await asked.answer("LACK", "-")
-        assert await here.ended(2) == [How.TIMED_OUT, How.ANSWERED] and fed == 2
+        assert await here.ended(2) == [EndReason.TIMED_OUT, EndReason.ANSWERED] and fed == 2
     assert COUNTERS.counts["peer.never_ends"] == had + 1
 
 
@@ -337,10 +337,10 @@
     async with one_peer(connections=1, connect_within=60.0) as here:
         await here.start(speaks_when_doubted)
         here.ask(1)
-        assert await here.ended() == [How.BROKEN]
+        assert await here.ended() == [EndReason.BROKEN]
         here.ask(2)
         await (await here.cache.next()).answer("LACK", "-")
-        assert await here.ended(2) == [How.BROKEN, How.ANSWERED] and fed == 2
+        assert await here.ended(2) == [EndReason.BROKEN, EndReason.ANSWERED] and fed == 2
 
 
 async def test_a_whole_answer_after_a_doubt_keeps_the_connection() -> None:
@@ -354,20 +354,24 @@
             while not here.cache.doubted:
                 await anyio.sleep(0.001)
         await asked.answer("LACK", "-")
-        assert await here.ended() == [How.ANSWERED]
+        assert await here.ended() == [EndReason.ANSWERED]
         here.ask(2)
         again = await here.cache.next()
         assert again.stream is asked.stream
         await again.answer("LACK", "-")
-        assert await here.ended(2) == [How.ANSWERED, How.ANSWERED]
+        assert await here.ended(2) == [EndReason.ANSWERED, EndReason.ANSWERED]
 
 
 @pytest.mark.parametrize(
     ("fields", "how"),
-    [(f"tag={TAG}", How.ANSWERED), ("tag=0123456789abcdef", How.BROKEN), ("minted=1", How.BROKEN)],
+    [
+        (f"tag={TAG}", EndReason.ANSWERED),
+        ("tag=0123456789abcdef", EndReason.BROKEN),
+        ("minted=1", EndReason.BROKEN),
+    ],
     ids=["the client's", "another", "none"],
 )
-async def test_a_copy_holds_only_where_a_cache_names_that_very_copy(fields: str, how: How) -> None:
+async def test_a_copy_holds_only_where_a_cache_names_that_very_copy(fields: str, how: EndReason) -> None:
     """Guards against a client told that its copy is current by an answer that names another one."""
     async with one_peer() as here:
         await here.start()
@@ -382,7 +386,7 @@
         await here.start()
         first = here.ask(1)
         asked = await here.cache.next()
-        here.peer._stop(first, How.TIMED_OUT)
+        here.peer._stop(first, EndReason.TIMED_OUT)
         await asked.answer("DONE", f"tag={TAG},minted=1", b"late")
         second = here.ask(2)
         other = await here.cache.next()
@@ -390,13 +394,13 @@
             other = await here.cache.next()
         await other.answer("DONE", f"tag={TAG},minted=1", b"in time")
         await here.news.until(lambda: len(here.ends) == 2)
-        here.peer._stop(second, How.TIMED_OUT)  # its answer came first
-        assert [end.how for end in here.ends] == [How.TIMED_OUT, How.ANSWERED]
+        here.peer._stop(second, EndReason.TIMED_OUT)  # its answer came first
+        assert [end.reason for end in here.ends] == [EndReason.TIMED_OUT, EndReason.ANSWERED]
         answer = here.ends[1].answer
         assert answer is not None and answer.body is not None
         answer.body.free()
         await turns()
-        assert here.around.pool.out <= 2 and here.peer.is_idle  # nothing but what its readers hold
+        assert here.around.pool.in_use <= 2 and here.peer.is_idle  # nothing but what its readers hold
 
 
 # The end of the front
@@ -409,17 +413,19 @@
     async with one_peer() as here:
         await here.start()
         actor = Router(Front(1, CONFIG.settings), CONFIG.names, 100, here.around)
-        lines = tuple(replace(line, address=here.address) for line in LISTING.lines)
-        actor.change([Listing(1, True, lines)])
+        lines = tuple(replace(line, address=here.address) for line in LISTING.entries)
+        actor.apply_changes([EndpointList(1, True, lines)])
         here.tasks.start_soon(actor.run)
         caller = Caller()
-        assert actor.take(cast(Client, caller), 1, ordered(id=1))
+        assert actor.submit_pull(cast(Client, caller), 1, ordered(id=1))
         await turns()
         assert len(gates) == 1  # its relay waits for a connection
-        assert actor.take(cast(Client, caller), 2, ordered(id=2))  # still in the mailbox when the end is told
-        actor.end_all()
-        assert not actor.take(cast(Client, caller), 3, ordered(id=3))  # shed by its client's connection
-        assert sorted(await caller.until(2)) == ["1 shed", "2 shed"] and not actor.owes
+        # Still in the mailbox when the end is told.
+        assert actor.submit_pull(cast(Client, caller), 2, ordered(id=2))
+        actor.begin_shutdown()
+        # Shed by its client's connection.
+        assert not actor.submit_pull(cast(Client, caller), 3, ordered(id=3))
+        assert sorted(await caller.until(2)) == ["1 shed", "2 shed"] and not actor.has_unanswered
         had = COUNTERS.counts["peer.connected"]
         here.ask(7)  # another's, over a connection of its own
         await turns()
@@ -455,10 +461,10 @@
         self.is_empty = True
 
     @property
-    def owes(self) -> bool:
+    def has_unanswered(self) -> bool:
         return not self.told_at
 
-    def end_all(self) -> None:
+    def begin_shutdown(self) -> None:
         if not self.told_at:
             self.told_at = self.now()
         else:
@@ -481,7 +487,7 @@
         clock.at += 1000.0 * seconds
 
     monkeypatch.setattr(anyio, "sleep", sleep)
-    config = replace(CONFIG, links=replace(CONFIG.links, longest_cut_off=longest))
+    config = replace(CONFIG, links=replace(CONFIG.links, max_deadline=longest))
     owes = Owes(clock.now)
     await _drain(config, clock, cast(Router, owes), cast(Listener, owes))
     killed = 1000.0 + min(longest, 3000.0) + 700.0  # no sooner than that, by the protocol
@@ -498,7 +504,7 @@
 
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
-            listener = Listener(("127.0.0.1", 0), 8, Pool(1 << 22), clock, pulls)
+            listener = Listener(("127.0.0.1", 0), 8, BufferPool(1 << 22), clock, pulls)
             listener._tasks = tasks  # nothing accepts but the drain
             sock = socket.create_connection(listener._sock.getsockname())
             sock.sendall(order(1))
@@ -514,25 +520,26 @@
 # The change log
 
 
-def fourth_poll(terms: PollTerms) -> float:
+def fourth_poll(terms: PollPolicy) -> float:
     """Return when the fourth connection polls where three before stay silent, in ms from the first poll."""
     schedule, now, begun = PollSchedule(terms), 0.0, 0
     while begun < 4:
         check = schedule.check(now)
-        assert not check.lost
-        if check.begin:
+        assert not check.abandoned
+        if check.start_connection:
             begun += 1
-            schedule.begun(begun, now)
-            schedule.asked(begun, now)  # they come up at once
+            schedule.connection_started(begun, now)
+            schedule.poll_sent(begun, now)  # they come up at once
         else:
-            now = check.look_at
+            now = check.next_check_at
     return now
 
 
 async def test_three_watches_in_a_row_fall_silent_and_it_is_heard_within_seven_seconds() -> None:
     """What replaces a silent connection is silent too, and the next; one of them dribbles for ever."""
-    assert fourth_poll(PollTerms()) < 7000.0 - 500.0  # with what a front takes to connect, and is late itself
-    terms = PollTerms(hold=40.0, answer_patience=20.0, quick_patience=20.0, gap=20.0)
+    # With what a front takes to connect, and is late itself.
+    assert fourth_poll(PollPolicy()) < 7000.0 - 500.0
+    terms = PollPolicy(hold=40.0, answer_allowance=20.0, quick_allowance=20.0, connection_interval=20.0)
     news, came = News(), 0
     told: list[Any] = []
     event = {"seq": 2, "invalidate": {"object": "7" * 16, "time": 1}}
@@ -568,7 +575,7 @@
             log = DiscoveryClient(address, 1, CONFIG.names, hand_on, terms)
             tasks.start_soon(log.run)
             await news.until(lambda: told)
-            assert came == 4 and log.last == 2
+            assert came == 4 and log.last_seq == 2
             tasks.cancel_scope.cancel()
 
 
@@ -608,7 +615,7 @@
             await half.wait()
             await turns()
             assert not told
-            log.move(addresses[1])
+            log.set_address(addresses[1])
             await news.until(lambda: len(asked) == 2)  # it has what came, and asks on
             rest.set()
             await turns()
@@ -631,7 +638,7 @@
     def is_ready(self) -> bool:
         return True
 
-    def take(self, client: Client, stream: int, order: Any) -> bool:
+    def submit_pull(self, client: Client, stream: int, order: Any) -> bool:
         self.taken.append((client, stream))
         self.news.tell()
         return True
@@ -644,20 +651,20 @@
 class Sheds(Takes):
     """The same at its end: it owes nothing, and takes nothing in."""
 
-    owes = False
+    has_unanswered = False
 
-    def take(self, client: Client, stream: int, order: Any) -> bool:
-        super().take(client, stream, order)
+    def submit_pull(self, client: Client, stream: int, order: Any) -> bool:
+        super().submit_pull(client, stream, order)
         return False  # its connection sheds it
 
-    def end_all(self) -> None:
+    def begin_shutdown(self) -> None:
         """What is owed would be answered."""
 
 
 @asynccontextmanager
 async def clients(most: int = 8, memory: int = 1 << 22, greets_within: float = 60000.0) -> AsyncIterator[Any]:
     pulls, clock = Takes(), Clock()
-    pool = Pool(memory)
+    pool = BufferPool(memory)
     listener = Listener(("127.0.0.1", 0), most, pool, clock, pulls, greets_within)
     address = listener._sock.getsockname()
 
@@ -734,7 +741,7 @@
             await turns()
             assert client in listener.clients and client.awaits(stream) and not pulls.left
             body = Whole(240_000)
-            client.served(stream, False, body)
+            client.answer_served(stream, False, body)
             got, clean = await read_all(sock)
             assert got.endswith(body.bytes) and len(got) > len(body.bytes) and body.freed == 1
             assert clean
@@ -760,7 +767,7 @@
         fresh.send(order(5))
         await pulls.news.until(lambda: len(pulls.taken) == 3)
         client, stream = pulls.taken[-1]
-        client.shed(stream, 0.0)  # it has spoken and is idle: now it gives its place
+        client.answer_shed(stream, 0.0)  # it has spoken and is idle: now it gives its place
         late.send(order(9))
         await pulls.news.until(lambda: len(pulls.taken) == 4)
         got, clean = await read_all(fresh)
@@ -777,9 +784,9 @@
         await pulls.news.until(lambda: pulls.taken)
         client, stream = pulls.taken[0]
         body = Whole(100_000)
-        client.served(stream, False, body)
+        client.answer_served(stream, False, body)
         got = b""
-        while not client.is_spare:
+        while not client.is_closable:
             await anyio.wait_readable(sock)
             got += sock.recv(4096)
         listener._end(client, "overdue")
@@ -799,9 +806,9 @@
         while not client._half_since:
             await turns()
         client._half_since -= 2500.0  # as long ago as is too long
-        client.end_half_frame()
+        client.reject_incomplete_frame()
         assert not client.is_overdue() and client.awaits(stream)
-        client.shed(stream, 0.0)
+        client.answer_shed(stream, 0.0)
         got, clean = await read_all(sock)
         assert clean and got.count(b"\x11") >= 2  # the error on stream 0, and the answer
         sock.close()
@@ -809,16 +816,16 @@
 
 async def test_a_client_that_leaves_while_its_front_has_no_room_is_seen_to_leave() -> None:
     """Guards against pulls sent on for a client that has gone, behind input that waits for a buffer."""
-    async with clients(memory=16 * SIZE) as (_, pulls, call, pool):
+    async with clients(memory=16 * BUFFER_SIZE_BYTES) as (_, pulls, call, pool):
         sock = await call()
         sock.send(order(1))
         await pulls.news.until(lambda: pulls.taken)
-        lent = [buffer for _ in range(pool.most) if (buffer := pool.take()) is not None]
-        assert pool.take() is None  # nothing can be read now
+        lent = [buffer for _ in range(pool.max_buffers) if (buffer := pool.acquire()) is not None]
+        assert pool.acquire() is None  # nothing can be read now
         sock.send(order(2))
         while not pulls.taken[0][0]._connection.starved:
             await anyio.sleep(0.001)
         sock.close()
         await pulls.news.until(lambda: pulls.left)
         assert pulls.left == [1] and len(pulls.taken) == 1
-        pool.give_back(lent)
+        pool.release(lent)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -9,7 +9,7 @@
 
 from cometseam import events
 from cometseam.counters import COUNTERS
-from cometseam.events import EVENTS, say
+from cometseam.events import EVENTS, log_event
 
 SOURCES = sorted((Path(__file__).parent.parent / "cometseam").rglob("*.py"))
 
@@ -18,7 +18,7 @@
     found = []
     for path in SOURCES:
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "say":
+            if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "log_event":
                 found.append((path.name, node))
     return found
 
@@ -53,11 +53,11 @@
     before = COUNTERS.counts["log.left_out"]
     try:
         for _ in range(5):
-            say("client.unusable", why="{noise}")
+            log_event("client.unusable", why="{noise}")
         now[0] += 1.0
-        say("client.unusable", why="more")
-        say("front.drains", name="f")
-        say("front.drains", name="f")
+        log_event("client.unusable", why="more")
+        log_event("front.drains", name="f")
+        log_event("front.drains", name="f")
     finally:
         logger.remove(number)
     assert lines == [
@@ -69,6 +69,6 @@
 
 def test_a_field_of_another_type_or_name_is_a_fault_of_the_program() -> None:
     with pytest.raises(AssertionError):
-        say("client.unusable", why=3)
+        log_event("client.unusable", why=3)
     with pytest.raises(AssertionError):
-        say("client.unusable", because="x")
+        log_event("client.unusable", because="x")
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -7,9 +7,9 @@
 import anyio
 import pytest
 
-from cometseam.operator.compiled import read as read_compiled
-from cometseam.operator.compiled import write
-from cometseam.operator.fleet import read as read_fleet
+from cometseam.operator.compiled import decode_compiled as read_compiled
+from cometseam.operator.compiled import encode_compiled
+from cometseam.operator.fleet import parse_fleet_config as read_fleet
 from cometseam.operator.load import load
 from tests.drive import SAMPLE, order
 from tests.standins.fronts import Fronts, fronts
@@ -176,23 +176,23 @@
 
 def test_the_example_of_a_fleet_is_a_good_file_and_its_terms_are_read_back() -> None:
     loaded = load(Path(__file__).parent.parent / "deploy" / "fleet.jsonnet", SAMPLE["settings"])
-    again = read_compiled(write(loaded.compiled, loaded.networks))
+    again = read_compiled(encode_compiled(loaded.compiled, loaded.network_intervals))
     assert again.fleet is not None and again.fleet == loaded.compiled.fleet
     terms = read_fleet(again.fleet)
-    assert set(terms.tasks) == {"probe", "list", "limits"} and terms.limits == (500.0, 3000.0)
-    assert terms.relays == (400.0, 800.0)
-    assert terms.log_bound_ms == 4000.0 and terms.probing.lasts == 6000.0
+    assert set(terms.tasks) == {"probe", "list", "limits"} and terms.grant_timing == (500.0, 3000.0)
+    assert terms.in_flight_limits == (400.0, 800.0)
+    assert terms.max_log_age_ms == 4000.0 and terms.probing.lasts == 6000.0
 
 
 def refused(
     folder: Path, tasks: str, more: str = "", service: str = "127.0.0.1:2379", fronts: int = 1
 ) -> str:
     """Return the faults of a file with such a fleet."""
-    from cometseam.operator.compiled import Refused
+    from cometseam.operator.compiled import OperatorFileError
 
     path = folder / "operator.jsonnet"
     path.write_text(f"{{ version: 1, fleet: {{ service: '{service}', {more} tasks: {{ {tasks} }} }} }}")
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         load(path, {**SAMPLE["settings"], "balancers": fronts})
     return "\n".join(str(fault) for fault in caught.value.faults)
 
--- a/tests/test_front_plans.py
+++ b/tests/test_front_plans.py
@@ -12,9 +12,9 @@
 import pytest
 
 from cometseam.events import EVENTS
-from cometseam.operator import Compiled
+from cometseam.operator import CompiledConfig
 from cometseam.operator.load import load
-from cometseam.program import OperatorsFile
+from cometseam.program import OperatorFileReloader
 from tests.drive import SAMPLE, Caller, Got, World, order, world
 from tests.standins.caches import Answer, Caches
 from tests.test_operator import BAD, EXAMPLE
@@ -190,16 +190,16 @@
     compiled = load(EXAMPLE, SAMPLE["settings"]).compiled
 
     class Told:
-        def replan(self, new: Compiled) -> None:
+        def update_plans(self, new: CompiledConfig) -> None:
             taken.append(new.digest)
 
-    async def read(path: Path, _: dict[str, object]) -> Compiled:
+    async def read(path: Path, _: dict[str, object]) -> CompiledConfig:
         await anyio.sleep(0)
         return replace(compiled, digest=path.name)
 
-    monkeypatch.setattr("cometseam.operator.load.load_apart_async", read)
-    reader = OperatorsFile(Told())  # type: ignore[arg-type]
+    monkeypatch.setattr("cometseam.operator.load.load_in_child_async", read)
+    reader = OperatorFileReloader(Told())  # type: ignore[arg-type]
     async with anyio.create_task_group() as tasks:
         for name in ("older", "newer"):  # two signals at once: neither reading has begun
-            tasks.start_soon(reader.reread, reader.next(), Path(name), {})
+            tasks.start_soon(reader.reload, reader.start_reload(), Path(name), {})
     assert taken == ["newer"]
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -13,8 +13,8 @@
 from tests.standins.scripted import Behave, Said, World
 
 PULLS, EVERY = 1500, 12.0  # and ms between two of them
-GRIDS = replace(SETTINGS.workloads[0], quoted=600.0, stretch=1.6, cut_off=6000.0)
-SITE = replace(SETTINGS, workloads=(GRIDS,), pace=3.0)
+GRIDS = replace(SETTINGS.workloads[0], target_latency=600.0, target_latency_factor=1.6, deadline=6000.0)
+SITE = replace(SETTINGS, workloads=(GRIDS,), stream_rate=3.0)
 
 
 def among(crowd: float) -> Behave:
@@ -23,7 +23,7 @@
     def behave(now: float, relay: i.Relay, pull: i.Pull, chance: Random) -> Said:
         if relay.source == relay.cache and mixed(pull.object) % 4 == 0:
             return Said(1.0, i.Outcome.MISS, i.Remark.NONE)
-        taken = pull.size_kb / SITE.pace * crowd * chance.uniform(0.8, 1.2)
+        taken = pull.size_kb / SITE.stream_rate * crowd * chance.uniform(0.8, 1.2)
         return Said(taken + chance.uniform(2.0, 20.0), i.Outcome.OK,
                     i.Remark.HIT if relay.source == relay.cache else i.Remark.FILLED)  # fmt: skip
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,10 +21,10 @@
 from cometseam.counters import COUNTERS
 from cometseam.logic import Front
 from cometseam.program import _drain
-from cometseam.routing.actor import LOOK_AFTER, Router
-from cometseam.transport.attempt import How
-from cometseam.transport.buffers import Pool
-from cometseam.transport.client import CROSSES, Client, Listener
+from cometseam.routing.actor import CLIENT_CHECK_AFTER_MS, Router
+from cometseam.transport.attempt import EndReason
+from cometseam.transport.buffers import BufferPool
+from cometseam.transport.client import CLOSE_CROSSING_MS, Client, Listener
 from tests.drive import SETTINGS, Cache, Drive, World, frame, order, resp, world
 from tests.test_actors import CONFIG, LISTING, Caller
 from tests.test_actors import order as ordered
@@ -36,7 +36,7 @@
 COPY = f"tag={TAG},minted=1,why=cached"
 CASES = 12
 # KB of a pull whose own time-out is over a second: what a test has it wait for ends sooner.
-LARGE = 300.0 * CONFIG.settings.pace
+LARGE = 300.0 * CONFIG.settings.stream_rate
 
 
 @pytest.fixture
@@ -110,7 +110,7 @@
     how: str, gates: list[anyio.Event], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection comes up in the very turn in which the client's end, or its withdrawal, lies unread."""
-    stood = (LOOK_AFTER + 20.0) / 1000.0
+    stood = (CLIENT_CHECK_AFTER_MS + 20.0) / 1000.0
     async with one_peer(connect_within=5000.0) as here:
         await here.start()
         ready = socket.create_connection(here.address)
@@ -123,7 +123,9 @@
 
         monkeypatch.setattr("cometseam.transport.peer.Channel._connect", late)
         actor = Router(Front(1, CONFIG.settings), CONFIG.names, 100, here.around)
-        actor.change([replace(LISTING, lines=tuple(replace(x, address=here.address) for x in LISTING.lines))])
+        actor.apply_changes(
+            [replace(LISTING, entries=tuple(replace(x, address=here.address) for x in LISTING.entries))]
+        )
         listener = Listener(("127.0.0.1", 0), 8, here.around.pool, here.around.clock, actor)
         here.tasks.start_soon(actor.run)
         here.tasks.start_soon(listener.run, here.tasks)
@@ -135,10 +137,11 @@
         if how:
             leave(sock, how)
         time.sleep(stood)  # the loop stands still, and the end lies unread
-        actor.lag(1000.0 * stood)  # as the program's sampling, whose timer runs before sockets are read
+        # As the program's sampling, whose timer runs before sockets are read.
+        actor.record_loop_lag(1000.0 * stood)
         gates[0].set()
         if how:
-            while actor.owed:
+            while actor.pending_count:
                 await turns(1)
             assert not here.cache.asked and not listener._sock.fileno() < 0
             assert COUNTERS.counts["relay.sent"] == sent  # and no other relay was tried for it
@@ -172,17 +175,17 @@
 
 
 def test_a_tagged_pulls_further_relay_may_not_wait_past_its_window() -> None:
-    tagged = replace(SETTINGS.workloads[1], group=i.Group.ALL)  # with a window of 1 s
+    tagged = replace(SETTINGS.workloads[1], dedup_scope=i.DedupScope.ALL)  # with a window of 1 s
     drive = Drive(replace(SETTINGS, workloads=(SETTINGS.workloads[0], tagged, *SETTINGS.workloads[2:])))
     drive.pull(1, workload=1)
-    assert drive.last[1].within == 0.0  # it has run nowhere
+    assert drive.last[1].write_within == 0.0  # it has run nowhere
     first = drive.last[1].cache
     drive.end(1, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
     assert drive.last[1].cache != first or drive.relays[1] == 1
-    assert drive.last[1].within == 700.0
+    assert drive.last[1].write_within == 700.0
     drive.pull(2, workload=0)  # repeatable: any time
     drive.end(2, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
-    assert drive.relays[2] == 1 and drive.last[2].within == 0.0
+    assert drive.relays[2] == 1 and drive.last[2].write_within == 0.0
 
 
 @pytest.mark.parametrize("late", [True, False], ids=["past its window", "within it"])
@@ -191,7 +194,7 @@
 ) -> None:
     """Guards the second rule: a repeat written then is no longer known as one, and runs a second time."""
     window = 900.0
-    workload = replace(CONFIG.settings.workloads[0], effect=i.Effect.TAGGED, window=window)
+    workload = replace(CONFIG.settings.workloads[0], idempotency=i.Idempotency.TAGGED, dedup_window=window)
     settings = replace(CONFIG.settings, workloads=(workload, *CONFIG.settings.workloads[1:]))
     async with one_peer(connect_within=5000.0) as here:
         await here.start()
@@ -199,14 +202,14 @@
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         here.tasks.start_soon(listener.serve, other.serve)
         address = ("127.0.0.1", listener.extra(anyio.abc.SocketAttribute.local_port))
-        edge = next(line for line in LISTING.lines if line.name == "cache-1")
+        edge = next(line for line in LISTING.entries if line.name == "cache-1")
         lines = (replace(edge, address=here.address), replace(edge, name="cache-2", address=address))
         actor = Router(Front(1, settings), CONFIG.names, 100, here.around)
-        actor.change([replace(LISTING, lines=lines)])
+        actor.apply_changes([replace(LISTING, entries=lines)])
         here.tasks.start_soon(actor.run)
         caller = Caller()
         wanted = replace(ordered(workload=CONFIG.names.workloads[0], left=6000.0), size_kb=LARGE)
-        assert actor.take(cast(Client, caller), 1, wanted)
+        assert actor.submit_pull(cast(Client, caller), 1, wanted)
         while not gates:
             await turns(1)
         began = here.around.clock.now()
@@ -216,8 +219,8 @@
         await (await first.next()).answer("BROKE")
         while len(gates) < 2:
             await turns(1)
-        out = actor._open[1].out  # the second relay waits for its connection
-        assert out is not None and here.around.clock.now() < began + window < out.ask.due - 100.0
+        out = actor._open[1].in_flight  # the second relay waits for its connection
+        assert out is not None and here.around.clock.now() < began + window < out.attempt.deadline - 100.0
         if late:
             time.sleep((window + 10.0) / 1000.0)
         gates[1].set()
@@ -238,8 +241,8 @@
         while first.outgoing is None or not first.outgoing.begun:
             await turns(1)
         second = here.ask(2, begin_by=30.0)
-        assert await here.ended() == [How.UNSENT] and here.ends[0].ask is second
-        here.peer._stop(first, How.GIVEN_UP)
+        assert await here.ended() == [EndReason.UNSENT] and here.ends[0].attempt is second
+        here.peer._stop(first, EndReason.GIVEN_UP)
         taker.close()
 
 
@@ -254,9 +257,9 @@
         await pulls.news.until(lambda: pulls.taken)
         client, stream = pulls.taken[0]
         body = Whole(100_000)
-        client.served(stream, False, body)
+        client.answer_served(stream, False, body)
         got = b""
-        while not client.is_spare:
+        while not client.is_closable:
             await anyio.wait_readable(sock)
             got += sock.recv(4096)
         had = COUNTERS.counts["client.gave_place"]
@@ -283,7 +286,7 @@
 
     async with anyio.create_task_group() as tasks:
         clock, pulls = Hand(), Takes()
-        listener = Listener(("127.0.0.1", 0), 1, Pool(1 << 22), clock, pulls)
+        listener = Listener(("127.0.0.1", 0), 1, BufferPool(1 << 22), clock, pulls)
         listener._tasks = tasks
         socks = []
         for _ in range(3):
@@ -297,12 +300,12 @@
         assert len(listener.clients) == 1 and len(listener._leaving) == 1
         clock.at += 1.0
         assert listener.accept() is None  # what the first sends may still cross its end
-        clock.at += CROSSES
+        clock.at += CLOSE_CROSSING_MS
         assert await accepted(listener)  # now its descriptor is wanted
         assert len(listener.clients) + len(listener._leaving) <= listener._bound == 2
         for sock in socks:
             sock.close()
-        listener.end_all()
+        listener.begin_shutdown()
 
 
 async def test_what_waits_to_be_accepted_at_the_end_and_has_no_place_is_waited_for(
@@ -314,7 +317,9 @@
 
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
-            listener = Listener(("127.0.0.1", 0), 1, Pool(1 << 22), clock, pulls, greets_within=900.0)
+            listener = Listener(
+                ("127.0.0.1", 0), 1, BufferPool(1 << 22), clock, pulls, first_pull_timeout=900.0
+            )
             listener._tasks = tasks  # nothing accepts but the drain
             first, second = (socket.create_connection(listener._sock.getsockname()) for _ in range(2))
             second.sendall(order(1))
@@ -336,17 +341,17 @@
         sock.send(order(1))
         await pulls.news.until(lambda: pulls.taken)
         client, stream = pulls.taken[0]
-        client.shed(stream, 0.0)
+        client.answer_shed(stream, 0.0)
         sock.send(order(2)[:20])
-        while not client._decoder.is_inside:
+        while not client._decoder.has_partial_frame:
             await turns(1)
         client.used_at -= 60_000.0  # it has rested for longer than it may
-        assert not client.is_overdue() and not client.may_go(0.0) and not client.is_quiet
+        assert not client.is_overdue() and not client.is_evictable(0.0) and not client.is_drained
         sock.send(order(2)[20:])
         await pulls.news.until(lambda: len(pulls.taken) == 2)
-        client.shed(2, 0.0)
+        client.answer_shed(2, 0.0)
         client.used_at -= 60_000.0
-        assert client.is_overdue() and client.may_go(0.0) and client.is_quiet
+        assert client.is_overdue() and client.is_evictable(0.0) and client.is_drained
         sock.close()
 
 
@@ -372,16 +377,16 @@
         sock, got = await next_one()
         assert f"{1:016x}".encode() in got
         sock.send(resp(f"{1:016x}", "LACK", "-", b""))
-        assert await here.ended() == [How.ANSWERED]
+        assert await here.ended() == [EndReason.ANSWERED]
         had = COUNTERS.counts["peer.had_left"]
         leave(sock, how)
         time.sleep(0.01)  # the loop stands still, and the end lies unread
         second = here.ask(2)
         other, got = await next_one()
-        assert f"{2:016x}".encode() in got and second.again is False
+        assert f"{2:016x}".encode() in got and second.requeued is False
         assert COUNTERS.counts["peer.had_left"] == had + 1  # the crossing took place
         other.send(resp(f"{2:016x}", "LACK", "-", b""))
-        assert await here.ended(2) == [How.ANSWERED, How.ANSWERED]
+        assert await here.ended(2) == [EndReason.ANSWERED, EndReason.ANSWERED]
         for each in (other, taker):
             each.close()
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -18,28 +18,28 @@
 from cometseam import interface as i
 from cometseam.cli.main import app
 from cometseam.levels import (
-    Condition,
-    Easing,
-    Leaf,
+    CompoundCondition,
     Level,
-    Machine,
-    Measures,
-    Reading,
-    Scheme,
+    LevelActions,
+    LevelPolicy,
+    LevelStateMachine,
+    LoadShedder,
     ShedShare,
     Signals,
-    Verdict,
-    keep,
+    ThresholdCondition,
+    TruthValue,
+    UtilizationSample,
+    snapshot,
 )  # fmt: skip
-from cometseam.levels.conditions import Watched, join
-from cometseam.levels.machine import mapped
-from cometseam.levels.replay import Faulty, Row, parse, replay
-from cometseam.levels.scheme import LEAST_STAY, does_no_less
-from cometseam.levels.signals import known
-from cometseam.levels.watch import Watch
+from cometseam.levels.conditions import ConditionTracker, combine_truth_values
+from cometseam.levels.controller import LevelController
+from cometseam.levels.machine import map_level
+from cometseam.levels.policy import MIN_STAY_MS, is_at_least_as_strict
+from cometseam.levels.replay import Row, SeriesError, parse_series, replay
+from cometseam.levels.signals import signal_names
 from cometseam.operator import compiled
 from cometseam.operator.load import load
-from cometseam.routing.levels import histogram, word
+from cometseam.routing.levels import counter_label, histogram
 from tests.drive import SAMPLE, SERVERS, SETTINGS, Drive, line
 from tests.standins.link import Shared
 from tests.standins.scripted import Said, World
@@ -48,15 +48,15 @@
 steady = settings(derandomize=True, deadline=None, max_examples=120)
 
 
-def one(signal: str, above: bool, bound: float, lasts: float) -> Condition:
-    return Condition(True, (Leaf(signal, above, bound, lasts),))
+def one(signal: str, above: bool, bound: float, lasts: float) -> CompoundCondition:
+    return CompoundCondition(True, (ThresholdCondition(signal, above, bound, lasts),))
 
 
-def shedding(share: float) -> Measures:
-    return Measures(shed=(ShedShare(0, "", share),))
+def shedding(share: float) -> LevelActions:
+    return LevelActions(shed=(ShedShare(0, "", share),))
 
 
-SCHEME = Scheme(
+SCHEME = LevelPolicy(
     (
         Level("little", one("link", True, 1.0, 2000.0), one("link", False, 0.8, 3000.0), shedding(0.3)),
         Level("more", one("link", True, 1.5, 2000.0), one("link", False, 1.0, 3000.0), shedding(0.6)),
@@ -69,7 +69,7 @@
 
 
 def through(
-    machine: Machine, values: Sequence[float | None], step: float = 250.0, start: float = 0.0
+    machine: LevelStateMachine, values: Sequence[float | None], step: float = 250.0, start: float = 0.0
 ) -> list[float]:
     """Step a machine through values of the link and return the times of its changes."""
     times = []
@@ -80,57 +80,63 @@
 
 
 def test_unknown_is_no_verdict_unless_the_rest_settles_it() -> None:
-    true, false, unknown = Verdict.TRUE, Verdict.FALSE, Verdict.UNKNOWN
-    assert [join(True, [true, unknown]), join(True, [false, unknown])] == [unknown, false]
-    assert [join(False, [true, unknown]), join(False, [false, unknown])] == [true, unknown]
+    true, false, unknown = TruthValue.TRUE, TruthValue.FALSE, TruthValue.UNKNOWN
+    assert [combine_truth_values(True, [true, unknown]), combine_truth_values(True, [false, unknown])] == [
+        unknown,
+        false,
+    ]
+    assert [combine_truth_values(False, [true, unknown]), combine_truth_values(False, [false, unknown])] == [
+        true,
+        unknown,
+    ]
 
 
 def test_a_leaf_must_hold_for_its_time_and_silence_stops_its_clock() -> None:
-    watched = Watched(one("link", True, 1.0, 1000.0))
+    watched = ConditionTracker(one("link", True, 1.0, 1000.0))
     steps = [(0.0, 2.0), (600.0, 2.0), (600.0, None), (300.0, 2.0), (200.0, 2.0), (100.0, 0.5), (900.0, 2.0)]
     verdicts = [watched.step(passed, {"link": value}) for passed, value in steps]
-    false, unknown, true = Verdict.FALSE, Verdict.UNKNOWN, Verdict.TRUE
+    false, unknown, true = TruthValue.FALSE, TruthValue.UNKNOWN, TruthValue.TRUE
     assert verdicts == [false, false, unknown, false, true, false, false]
 
 
 def test_a_spike_of_one_sample_and_a_slow_creep_below_the_bound_enter_nothing() -> None:
     spikes = [5.0 if place % 20 == 0 else 0.5 for place in range(400)]
-    assert through(Machine(SCHEME, Random(1)), spikes) == []
+    assert through(LevelStateMachine(SCHEME, Random(1)), spikes) == []
     creep: list[float | None] = [0.5 + 0.5 * place / 4000 for place in range(4000)]
-    assert through(Machine(SCHEME, Random(1)), creep) == []
-    machine = Machine(SCHEME, Random(1))
+    assert through(LevelStateMachine(SCHEME, Random(1)), creep) == []
+    machine = LevelStateMachine(SCHEME, Random(1))
     assert len(through(machine, [*creep, *[1.01] * 12])) == 1 and machine.level == 1
 
 
 def test_several_steps_up_at_once_and_down_one_by_one_with_a_ramp() -> None:
-    machine = Machine(SCHEME, Random(1))
+    machine = LevelStateMachine(SCHEME, Random(1))
     through(machine, [2.0] * 12)
     assert machine.level == 2
     down = through(machine, [0.5] * 200, start=3000.0)
-    assert machine.level == 0 and len(down) == 2 and down[1] - down[0] >= LEAST_STAY
-    machine = Machine(SCHEME, Random(1))
+    assert machine.level == 0 and len(down) == 2 and down[1] - down[0] >= MIN_STAY_MS
+    machine = LevelStateMachine(SCHEME, Random(1))
     through(machine, [2.0] * 12)
     shares = []
     for place in range(200):
         machine.step(3000.0 + 250.0 * place, {"link": 0.5})
-        shares.append(machine.measures().shed[0].share if machine.measures().shed else 0.0)
+        shares.append(machine.current_actions().shed[0].share if machine.current_actions().shed else 0.0)
     assert shares[0] == 0.6 and shares[-1] == 0.0
     assert all(0.0 <= before - after <= 0.011 for before, after in itertools.pairwise(shares))
 
 
 def test_the_load_at_the_boundary_for_five_minutes_makes_few_changes() -> None:
     for seed in range(20):
-        machine = Machine(replace(SCHEME, spread=0.25), Random(seed))
+        machine = LevelStateMachine(replace(SCHEME, spread=0.25), Random(seed))
         values = [1.6 if place // 4 % 2 else 0.7 for place in range(1200)]  # across it every second
         changes = through(machine, list(values))
         assert len(changes) <= 6
         # By the mean of the link's window it hovers at the bound itself.
         chance = Random(seed)
-        machine = Machine(replace(SCHEME, spread=0.25), Random(seed))
+        machine = LevelStateMachine(replace(SCHEME, spread=0.25), Random(seed))
         near = [chance.uniform(0.75, 1.25) + (place // 240 % 2) * 0.2 for place in range(1200)]
         changes = through(machine, near)
         assert len(changes) <= 6
-        assert all(after - before >= LEAST_STAY for before, after in itertools.pairwise(changes))
+        assert all(after - before >= MIN_STAY_MS for before, after in itertools.pairwise(changes))
 
 
 def test_the_shedding_that_clears_the_signal_makes_no_swing() -> None:
@@ -140,7 +146,7 @@
 
 
 def test_a_front_that_flaps_stays_longer_each_time_and_calm_wears_that_off() -> None:
-    machine = Machine(SCHEME, Random(1))
+    machine = LevelStateMachine(SCHEME, Random(1))
     now, stays = 0.0, []
     for _ in range(5):
         while machine.level == 0:
@@ -156,11 +162,11 @@
     for _ in range(4 * 60 * 6):
         machine.step(now, {"link": 0.2})
         now += 250.0
-    assert machine.hold_down == [1.0, 1.0, 1.0]
+    assert machine.hold_down_factors == [1.0, 1.0, 1.0]
 
 
 def test_a_silent_link_neither_enters_nor_leaves() -> None:
-    machine = Machine(SCHEME, Random(1))
+    machine = LevelStateMachine(SCHEME, Random(1))
     assert through(machine, [None] * 400) == [] and machine.level == 0
     through(machine, [1.2] * 12, start=100_000.0)
     assert machine.level == 1
@@ -169,7 +175,7 @@
 
 
 def test_a_clock_that_jumps_is_no_time_that_was_watched() -> None:
-    machine = Machine(SCHEME, Random(1))
+    machine = LevelStateMachine(SCHEME, Random(1))
     assert through(machine, [1.2, 1.2]) == []
     assert machine.step(3_600_000.0, {"link": 1.2}) is None  # an hour ahead counts for a second
     assert machine.step(500.0, {"link": 1.2}) is None  # and back for nothing
@@ -177,13 +183,13 @@
 
 
 def test_conditions_of_two_levels_in_turn_change_one_level_at_a_time_ten_seconds_apart() -> None:
-    machine = Machine(SCHEME, Random(1))
+    machine = LevelStateMachine(SCHEME, Random(1))
     times = []
     for place in range(2400):
         values = {"link": 1.2 if place % 40 < 20 else 0.5, "lag": 10.0 if place % 40 < 20 else 300.0}
         if machine.step(250.0 * place, values) is not None:
             times.append(250.0 * place)
-    assert len(times) >= 2 and all(b - a >= LEAST_STAY for a, b in itertools.pairwise(times))
+    assert len(times) >= 2 and all(b - a >= MIN_STAY_MS for a, b in itertools.pairwise(times))
 
 
 series = some.lists(
@@ -203,7 +209,7 @@
     steps: list[tuple[float, float | None, float | None, int]], seed: int
 ) -> None:
     def play() -> list[tuple[float, int, int]]:
-        machine = Machine(replace(SCHEME, spread=0.5), Random(seed))
+        machine = LevelStateMachine(replace(SCHEME, spread=0.5), Random(seed))
         now = passed = 0.0
         changes: list[tuple[float, int, int]] = []
         calm = [(250.0, 0.2, 10.0, 4 * 60 * 10)]
@@ -215,16 +221,17 @@
                 if change is not None:
                     changes.append((passed, change.before, change.after))
                 allowed = {s.share for level in (machine.level, machine._from) for s in
-                           machine.scheme.measures(level).shed}  # fmt: skip
-                shares = [shed.share for shed in machine.measures().shed]
+                           machine.policy.actions_of(level).shed}  # fmt: skip
+                shares = [shed.share for shed in machine.current_actions().shed]
                 assert all(share <= max(allowed, default=0.0) for share in shares)
-        assert machine.level == 0 and machine.measures() == Measures()  # no measure survives its level
+        # No measure survives its level.
+        assert machine.level == 0 and machine.current_actions() == LevelActions()
         return changes
 
     first = play()
     assert first == play()
     for (at, _, level), (then, before, after) in itertools.pairwise(first):
-        assert then - at >= LEAST_STAY - 1e-6 and before == level
+        assert then - at >= MIN_STAY_MS - 1e-6 and before == level
         assert after > before or after == before - 1
         if after < before:
             assert then - at >= SCHEME.levels[before - 1].stay - 1e-6
@@ -247,56 +254,59 @@
     renamed = replace(
         SCHEME, levels=(replace(SCHEME.levels[0], name="a"), replace(SCHEME.levels[2], name="b"))
     )
-    assert mapped(SCHEME, 2, SCHEME) == 2
-    assert [mapped(SCHEME, level, renamed) for level in range(4)] == [0, 1, 2, 2]
-    assert mapped(SCHEME, 3, replace(SCHEME, levels=SCHEME.levels[:1])) == 1  # none does no less: the last
-    assert does_no_less(shedding(0.3), Measures()) and not does_no_less(Measures(), shedding(0.3))
+    assert map_level(SCHEME, 2, SCHEME) == 2
+    assert [map_level(SCHEME, level, renamed) for level in range(4)] == [0, 1, 2, 2]
+    assert map_level(SCHEME, 3, replace(SCHEME, levels=SCHEME.levels[:1])) == 1  # none does no less: the last
+    assert is_at_least_as_strict(shedding(0.3), LevelActions()) and not is_at_least_as_strict(
+        LevelActions(), shedding(0.3)
+    )
 
 
 def signals() -> Signals:
     return Signals(("grids", "maps"), histogram)
 
 
-FRONT = Reading(0.5, 0.1, 0.2, None)
+FRONT = UtilizationSample(0.5, 0.1, 0.2, None)
 
 
 def test_too_few_or_old_samples_are_unknown() -> None:
     seen = signals()
     for place in range(4):
-        seen.link(100.0 * place, 1.5)
+        seen.record_link(100.0 * place, 1.5)
     assert seen.read(400.0, FRONT)["link"] is None
-    seen.link(400.0, 1.0)
+    seen.record_link(400.0, 1.0)
     assert seen.read(400.0, FRONT)["link"] == pytest.approx(1.4)
     assert seen.read(5000.0, FRONT)["link"] is None
     for _ in range(19):
-        seen.answered(5000.0, 0, "finished", 100.0, 200.0)
+        seen.record_answer(5000.0, 0, "finished", 100.0, 200.0)
     assert seen.read(5000.0, FRONT)["late:grids"] is None
-    seen.answered(5000.0, 0, "finished", 300.0, 200.0)
+    seen.record_answer(5000.0, 0, "finished", 300.0, 200.0)
     told = seen.read(5000.0, FRONT)
     assert (told["late:grids"], told["shed:grids"], told["shed:maps"]) == (0.05, 0.0, None)
     assert told["pressure:grids"] == pytest.approx(0.5, abs=0.01)
     assert told["budgets"] is None and told["fills"] == 0.5 and told["lag"] is None
-    assert set(told) == set(known(("grids", "maps")))
+    assert set(told) == set(signal_names(("grids", "maps")))
     assert seen.read(20_000.0, FRONT)["pressure:grids"] is None
 
 
 def pull(number: int, wanted: int, size: float = 100.0, part: int = 0, client: int = 1) -> i.Pull:
-    return i.Pull(number, wanted, part, 0, 2000.0, False, size, 3, client=client)
+    return i.Pull(number, wanted, part, 0, 2000.0, False, size, 3, client_network=client)
 
 
-def eased(share: float, **more: object) -> Easing:
-    easing = Easing(Random(1))
-    easing.take(replace(i.Eased(1, (share, 0.0), reading=10_000.0), **more))  # type: ignore[arg-type]
+def eased(share: float, **more: object) -> LoadShedder:
+    easing = LoadShedder(Random(1))
+    easing.apply_service_level(replace(i.ServiceLevel(1, (share, 0.0), reading_window=10_000.0), **more))  # type: ignore[arg-type]
     return easing
 
 
 def test_shedding_goes_by_the_object_and_spares_the_same_from_second_to_second() -> None:
     easing = eased(0.3)
-    first = {wanted: easing.sheds(0.0, pull(0, wanted), 20.0) for wanted in range(3000)}
-    again = {wanted: easing.sheds(9000.0, pull(0, wanted), 20.0) for wanted in range(3000)}
+    first = {wanted: easing.should_shed(0.0, pull(0, wanted), 20.0) for wanted in range(3000)}
+    again = {wanted: easing.should_shed(9000.0, pull(0, wanted), 20.0) for wanted in range(3000)}
     assert 0.25 < sum(list(again.values())[500:]) / 2500 < 0.35
     assert sum(first[w] != again[w] for w in range(600, 3000)) < 150  # a retry does not draw again
-    assert easing.sheds(0.0, replace(pull(0, 5), workload=1), 20.0) is False  # another workload loses none
+    # Another workload loses none.
+    assert easing.should_shed(0.0, replace(pull(0, 5), workload=1), 20.0) is False
 
 
 def test_large_pulls_are_shed_first() -> None:
@@ -305,18 +315,18 @@
     spared: list[float] = []
     for wanted in range(4000):
         size = chance.choice((10.0, 40.0, 160.0))
-        (shed if easing.sheds(0.0, pull(0, wanted), size) else spared).append(size)
+        (shed if easing.should_shed(0.0, pull(0, wanted), size) else spared).append(size)
     assert sum(shed) / len(shed) > 2.0 * sum(spared) / len(spared)
 
 
 def test_an_object_that_is_being_read_is_spared_to_its_end() -> None:
     easing = eased(0.0)
     for wanted in range(200):
-        easing.sheds(0.0, pull(0, wanted), 20.0)
-    easing.take(i.Eased(1, (0.9, 0.0), reading=10_000.0))
-    parts = [easing.sheds(3000.0 * part, pull(0, 7, part=part), 20.0) for part in range(1, 6)]
+        easing.should_shed(0.0, pull(0, wanted), 20.0)
+    easing.apply_service_level(i.ServiceLevel(1, (0.9, 0.0), reading_window=10_000.0))
+    parts = [easing.should_shed(3000.0 * part, pull(0, 7, part=part), 20.0) for part in range(1, 6)]
     assert parts == [False] * 5
-    later = [easing.sheds(60_000.0, pull(0, wanted, part=3), 20.0) for wanted in range(200)]
+    later = [easing.should_shed(60_000.0, pull(0, wanted, part=3), 20.0) for wanted in range(200)]
     assert sum(later) > 100  # too long ago
 
 
@@ -329,7 +339,7 @@
         # The clients of network 3 ask for large objects only, which would be shed first.
         size = 400.0 if network == 3 else chance.choice((10.0, 40.0, 160.0))
         asked[network] += 1
-        lost[network] += easing.sheds(0.0, pull(0, chance.randrange(500), size, client=network), size)
+        lost[network] += easing.should_shed(0.0, pull(0, chance.randrange(500), size, client=network), size)
     shares = {network: lost[network] / asked[network] for network in asked}
     overall = sum(lost.values()) / sum(asked.values())
     assert overall > 0.15 and max(shares.values()) < 1.35 * overall, shares
@@ -338,77 +348,79 @@
 def test_tables_are_bounded_and_a_level_that_ends_empties_them() -> None:
     easing = eased(0.5)
     for wanted in range(20_000):
-        easing.sheds(0.0, pull(0, wanted, client=wanted), 20.0)
+        easing.should_shed(0.0, pull(0, wanted, client=wanted), 20.0)
     assert len(easing._read) <= 4096 and len(easing._networks) <= 512
-    easing.take(i.Eased())
+    easing.apply_service_level(i.ServiceLevel())
     assert not easing._read and not easing._networks and not easing._cuts
-    assert not any(easing.sheds(0.0, pull(0, wanted), 20.0) for wanted in range(100)) and not easing._read
+    assert (
+        not any(easing.should_shed(0.0, pull(0, wanted), 20.0) for wanted in range(100)) and not easing._read
+    )
 
 
 def test_times_to_come_back_are_spread_and_never_shorter_than_usual() -> None:
-    easing = eased(0.5, later=800.0)
-    told = [easing.later(300.0) for _ in range(200)]
+    easing = eased(0.5, min_retry_after=800.0)
+    told = [easing.retry_after(300.0) for _ in range(200)]
     assert 800.0 <= min(told) < 850.0 and 1500.0 < max(told) <= 1600.0
-    assert min(easing.later(900.0) for _ in range(50)) >= 900.0
-    assert eased(0.5).later(300.0) == 300.0
+    assert min(easing.retry_after(900.0) for _ in range(50)) >= 900.0
+    assert eased(0.5).retry_after(300.0) == 300.0
 
 
 def test_the_module_sheds_once_at_once_and_leaves_out_what_the_level_says() -> None:
     drive = Drive()
-    drive.tell(i.Eased(1, (1.0, 0.0, 0.0, 0.0), later=500.0))
+    drive.tell(i.ServiceLevel(1, (1.0, 0.0, 0.0, 0.0), min_retry_after=500.0))
     drive.pull(1)
-    assert drive.trace == ["10 pull 1: shed"] and not drive.front.held
+    assert drive.trace == ["10 pull 1: shed"] and not drive.front.pending
     drive.pull(2, workload=1)
     assert drive.last[2].id == 2
-    drive.tell(i.Eased(1, (), first_seen=False, ageing=True))
+    drive.tell(i.ServiceLevel(1, (), fill_first_seen=False, prefer_stale=True))
     drive.pull(3, wanted=77)
     drive.lack(3)  # first seen: no fill, but what is ageing is looked for
-    assert drive.last[3].source == drive.last[3].cache and drive.last[3].oldest == 25_000.0
+    assert drive.last[3].source == drive.last[3].cache and drive.last[3].max_age == 25_000.0
     drive.lack(3)
-    drive.tell(i.Eased(1, (), further=False))
+    drive.tell(i.ServiceLevel(1, (), allow_further_relays=False))
     drive.pull(4, wanted=78)
     drive.end(4, i.Outcome.RESET, i.Remark.NONE)
     assert drive.relays[4] == 0 and "pull 4: shed" in drive.trace[-1]
-    drive.tell(i.Eased(1, (), fills=0.05))
-    drive.front.fills.out = 5
+    drive.tell(i.ServiceLevel(1, (), fill_limit_share=0.05))
+    drive.front.fill_limit.in_flight = 5
     drive.pull(5, wanted=79)
     drive.lack(5)
     assert drive.last[5].source == drive.last[5].cache  # its fill would be one too many
-    drive.front.fills.out = 0
-    drive.tell(i.Eased())
+    drive.front.fill_limit.in_flight = 0
+    drive.tell(i.ServiceLevel())
     drive.pull(6, wanted=80)
     drive.lack(6)
     assert drive.last[6].source != drive.last[6].cache
-    counts = drive.front.easing.counts
+    counts = drive.front.load_shedder.skipped_counts
     assert counts["shed.0"] == 1 and counts["further_relays"] == 1
     assert counts["first_seen_fills"] >= 1 and counts["fills"] >= 1
 
 
 def test_what_is_kept_is_found_and_what_is_torn_or_old_is_not(tmp_path: Path) -> None:
     path = tmp_path / "level"
-    assert keep.read(path, 0.0) is None
-    keep.write(path, "more", 900.0, 1000.0)
-    assert keep.read(path, 2000.0) == ("more", 900.0)
-    with pytest.raises(keep.Unkept, match="old"):
-        keep.read(path, 1000.0 + keep.OLD + 1.0)
-    with pytest.raises(keep.Unkept, match="ahead"):
-        keep.read(path, 1000.0 - keep.OLD - 1.0)
+    assert snapshot.read(path, 0.0) is None
+    snapshot.write(path, "more", 900.0, 1000.0)
+    assert snapshot.read(path, 2000.0) == ("more", 900.0)
+    with pytest.raises(snapshot.SnapshotError, match="old"):
+        snapshot.read(path, 1000.0 + snapshot.OLD + 1.0)
+    with pytest.raises(snapshot.SnapshotError, match="ahead"):
+        snapshot.read(path, 1000.0 - snapshot.OLD - 1.0)
     whole = path.read_bytes()
     for length in range(len(whole)):  # power lost after each byte
-        with pytest.raises(keep.Unkept):
-            keep.decode(whole[:length], 2000.0)
+        with pytest.raises(snapshot.SnapshotError):
+            snapshot.decode(whole[:length], 2000.0)
     for place in range(len(whole)):
         spoilt = whole[:place] + bytes([whole[place] ^ 1]) + whole[place + 1 :]
-        with pytest.raises(keep.Unkept):
-            keep.decode(spoilt, 2000.0)
-    with pytest.raises(keep.Unkept, match="another form"):
-        keep.decode(_other_form(), 0.0)
+        with pytest.raises(snapshot.SnapshotError):
+            snapshot.decode(spoilt, 2000.0)
+    with pytest.raises(snapshot.SnapshotError, match="another form"):
+        snapshot.decode(_other_form(), 0.0)
     path.with_name("level.new").write_bytes(b"half")  # a front that died while it wrote
-    assert keep.read(path, 2000.0) == ("more", 900.0)
-    keep.write(path, "full", 3000.0, 3000.0)
-    assert keep.read(path, 3000.0) == ("full", 3000.0)
+    assert snapshot.read(path, 2000.0) == ("more", 900.0)
+    snapshot.write(path, "full", 3000.0, 3000.0)
+    assert snapshot.read(path, 3000.0) == ("full", 3000.0)
     with pytest.raises(OSError):
-        keep.write(tmp_path / "none" / "level", "full", 0.0, 0.0)
+        snapshot.write(tmp_path / "none" / "level", "full", 0.0, 0.0)
 
 
 def _other_form() -> bytes:
@@ -417,35 +429,35 @@
 
 
 def test_a_reload_keeps_the_level_by_its_name_and_its_time_in_it() -> None:
-    watch = Watch(SCHEME, (), ("grids", "maps"), Random(1), histogram)
+    watch = LevelController(SCHEME, (), ("grids", "maps"), Random(1), histogram)
     now = 0.0
     for now in range(0, 4000, 250):
         for _ in range(5):
-            watch.signals.link(float(now), 1.2)
+            watch.signals.record_link(float(now), 1.2)
         watch.step(float(now), FRONT)
-    assert watch.name == "little"
-    since = watch.machine.since
+    assert watch.level_name == "little"
+    since = watch.state_machine.since_change_ms
     other = replace(SCHEME, levels=(SCHEME.levels[0], replace(SCHEME.levels[1], measures=shedding(0.7))))
-    watch.replaced(other, (), Random(2))
-    assert watch.name == "little" and watch.machine.since == since
+    watch.replace_policy(other, (), Random(2))
+    assert watch.level_name == "little" and watch.state_machine.since_change_ms == since
     change, told = watch.step(4000.0, FRONT)
-    assert change is None and told is not None and told.shares == (0.3, 0.0)
-    watch.replaced(replace(SCHEME, levels=(replace(SCHEME.levels[2], name="only"),)), (), Random(3))
-    assert watch.name == "only" and watch.machine.since == 0.0
+    assert change is None and told is not None and told.shed_shares == (0.3, 0.0)
+    watch.replace_policy(replace(SCHEME, levels=(replace(SCHEME.levels[2], name="only"),)), (), Random(3))
+    assert watch.level_name == "only" and watch.state_machine.since_change_ms == 0.0
 
 
 def test_the_example_survives_the_way_to_the_front_and_routes_are_told_by_plan() -> None:
     loaded = load(EXAMPLE, SAMPLE["settings"])
-    read = compiled.read(compiled.write(loaded.compiled, loaded.networks))
-    assert read.scheme == loaded.compiled.scheme and read.scheme is not None
-    watch = Watch(read.scheme, (("r", 4), ("s", 5)), ("grids", "maps"), Random(1), histogram)
-    told = watch.eased(Measures(shed=(ShedShare(1, "", 0.4), ShedShare(-1, "s", 0.2))))
-    assert told.shares == (0.0, 0.4) and told.routes == {5: 0.2}
+    read = compiled.decode_compiled(compiled.encode_compiled(loaded.compiled, loaded.network_intervals))
+    assert read.level_policy == loaded.compiled.level_policy and read.level_policy is not None
+    watch = LevelController(read.level_policy, (("r", 4), ("s", 5)), ("grids", "maps"), Random(1), histogram)
+    told = watch.to_service_level(LevelActions(shed=(ShedShare(1, "", 0.4), ShedShare(-1, "s", 0.2))))
+    assert told.shed_shares == (0.0, 0.4) and told.plan_shed_shares == {5: 0.2}
 
 
 def test_a_series_is_replayed_and_what_is_no_series_is_told() -> None:
-    names = known(("grids", "maps"))
-    rows = parse("t,link,lag\n" + "".join(f"{n * 0.25},1.2,\n" for n in range(20)), names)
+    names = signal_names(("grids", "maps"))
+    rows = parse_series("t,link,lag\n" + "".join(f"{n * 0.25},1.2,\n" for n in range(20)), names)
     assert rows[1] == Row(250.0, {"link": 1.2, "lag": None})
     done = replay(SCHEME, rows, 1)
     assert [change.after for _, change in done.changes] == [1] and done == replay(SCHEME, rows, 1)
@@ -454,8 +466,8 @@
         ("t,link\n0", "2 places"), ("t,link\n0,x", "could not convert"), ("t,link\n0,inf", "finite"),
         ("t,link\n", "no rows"),
     ):  # fmt: skip
-        with pytest.raises(Faulty, match=why):
-            parse(text, names)
+        with pytest.raises(SeriesError, match=why):
+            parse_series(text, names)
 
 
 def test_the_levels_commands(tmp_path: Path) -> None:
@@ -480,18 +492,28 @@
     assert command("explain", str(EXAMPLE), "--level", "full", "--signal", "link=x")[0] == 2
 
 
-EVERYTHING = i.Eased(
-    3, (0.0,) * 4, ageing=True, first_seen=False, further=False, fills=0.05, later=900.0, reading=1.0
+EVERYTHING = i.ServiceLevel(
+    3,
+    (0.0,) * 4,
+    prefer_stale=True,
+    fill_first_seen=False,
+    allow_further_relays=False,
+    fill_limit_share=0.05,
+    min_retry_after=900.0,
+    reading_window=1.0,
 )
 
 
 def test_a_rules_traces_hold_under_a_level() -> None:
     """Drains, cold caches, purges and effects, under a level that leaves out all that it can."""
-    for level in (EVERYTHING, replace(EVERYTHING, further=True, first_seen=True, fills=1.0)):
+    for level in (
+        EVERYTHING,
+        replace(EVERYTHING, allow_further_relays=True, fill_first_seen=True, fill_limit_share=1.0),
+    ):
         drive = Drive()
         drive.tell(level)
         for number, cache in enumerate((22, 11, 21, 13), 1):
-            drive.tell(i.Members(i.ListKind.CHANGES, (line(cache, i.Lifecycle.DRAINING),)))
+            drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(cache, i.Lifecycle.DRAINING),)))
             drive.pull(number, wanted=number)
             drive.lack(number)
             gone = {22, 11, 21, 13} - set((22, 11, 21, 13)[number:])
@@ -499,18 +521,18 @@
         drive = Drive(caches=(11, 21, 31))
         drive.tell(level)
         cold = (line(11, ready_at=drive.now), line(21, ready_at=drive.now))
-        drive.tell(i.Members(i.ListKind.CHANGES, cold))
+        drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, cold))
         for number in range(1, 41):
             drive.pull(number, wanted=number, after=1.0)
         budget = 0.75 * 2.0 * 0.2 * 8.0 * 2000.0  # the cold cache's, of which this front has its part
-        assert 0.0 < sum(work for _, work in drive.front.servers[11].spent) <= budget
+        assert 0.0 < sum(work for _, work in drive.front.servers[11].sent_work) <= budget
         drive = Drive()
         drive.tell(level)
         drive.tell(i.Purged(5, 3, 0.0))
         drive.pull(1, after=40.0)
-        assert drive.last[1].oldest == 40.0
+        assert drive.last[1].max_age == 40.0
         drive.lack(1)
-        assert drive.last[1].oldest <= 41.0 and drive.last[1].oldest > 0.0
+        assert drive.last[1].max_age <= 41.0 and drive.last[1].max_age > 0.0
         drive = Drive()
         drive.tell(level)
         drive.pull(1, workload=2)  # once-only
@@ -531,10 +553,14 @@
         for place in range(20):
             shares = tuple(chance.choice((0.0, 0.3, 0.9)) for _ in range(4))
             eased_now = replace(
-                EVERYTHING, shares=shares, further=chance.random() < 0.5, ageing=chance.random() < 0.5,
-                first_seen=chance.random() < 0.5, fills=chance.choice((0.05, 1.0)),
-            )  # fmt: skip
-            told = eased_now if place % 4 else i.Eased()
+                EVERYTHING,
+                shed_shares=shares,
+                allow_further_relays=chance.random() < 0.5,
+                prefer_stale=chance.random() < 0.5,
+                fill_first_seen=chance.random() < 0.5,
+                fill_limit_share=chance.choice((0.05, 1.0)),
+            )
+            told = eased_now if place % 4 else i.ServiceLevel()
             world.at(place * 150.0, partial(world.tell, told))
         for number in range(1, 300):
             wanted = chance.randrange(40)
@@ -545,4 +571,4 @@
 
 
 def test_a_levels_name_with_spaces_is_one_word_in_a_counters() -> None:
-    assert word("no large  grids") == "no-large-grids"
+    assert counter_label("no large  grids") == "no-large-grids"
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -12,7 +12,7 @@
 def test_first_seen_passes_unkept_and_later_pulls_are_ranked() -> None:
     drive = Drive()
     for edge in drive.front.edges:
-        edge.loss = 0.5  # the caches are full
+        edge.eviction_rate = 0.5  # the caches are full
     for number in range(1, 4):
         drive.pull(number, after=400.0)
         drive.lack(number)
@@ -45,7 +45,7 @@
 def test_a_drained_cache_gets_nothing_new() -> None:
     drive = Drive()
     for number, cache in enumerate((22, 11, 21, 13, ORIGIN, 12), 1):
-        drive.tell(i.Members(i.ListKind.CHANGES, (line(cache, i.Lifecycle.DRAINING),)))
+        drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(cache, i.Lifecycle.DRAINING),)))
         drive.pull(number)
         if number < 6:
             drive.lack(number)
@@ -54,7 +54,11 @@
 
 def test_cold_servers_get_no_more_than_their_budget() -> None:
     drive = Drive(caches=(11, 21, ORIGIN))
-    drive.tell(i.Members(i.ListKind.CHANGES, (line(11, ready_at=drive.now), line(21, ready_at=drive.now))))
+    drive.tell(
+        i.CacheListUpdate(
+            i.ListUpdateKind.CHANGES, (line(11, ready_at=drive.now), line(21, ready_at=drive.now))
+        )
+    )
     for number in range(1, 16):
         drive.pull(number, wanted=number)
     drive.check("cold")
@@ -62,8 +66,8 @@
 
 def test_asks_for_what_a_cold_parent_holds_stay_in_its_budget() -> None:
     drive = Drive(caches=(11, 21, ORIGIN))
-    drive.tell(i.Members(i.ListKind.CHANGES, (line(21, ready_at=drive.now),)))
-    drive.front.fetches.size = 0.0  # the origin is strained
+    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(21, ready_at=drive.now),)))
+    drive.front.origin_limit.size = 0.0  # the origin is strained
     for number in range(1, 7):
         drive.pull(number, wanted=number)
         drive.lack(number)
@@ -164,26 +168,26 @@
     drive = Drive(replace(SETTINGS, workloads=SETTINGS.workloads[:1]), caches=())
     drive.pull(1)
     drive.pull(2, workload=9)
-    drive.tell(i.HungUp(1))
-    drive.tell(i.Ended(1, 0, 11, i.Outcome.OK, i.Remark.HIT, 1.0, 0.0, True, ()))
+    drive.tell(i.ClientDisconnected(1))
+    drive.tell(i.RelayEnded(1, 0, 11, i.Outcome.OK, i.Remark.HIT, 1.0, 0.0, True, ()))
     drive.check("nothing")
 
 
 def test_a_parent_that_sends_slowly_over_an_empty_link_is_passed_over() -> None:
     drive = Drive()
-    drive.front.link_full = 0.3
+    drive.front.link_utilization = 0.3
     for number in range(1, 4):
         drive.pull(number, after=600.0)
         drive.lack(number)
         drive.end(number, remark=i.Remark.FILLED, after=900.0 if drive.last[number].source == 22 else 100.0)
     drive.trace = [text for text in drive.trace if "11 from 11" not in text]
-    drive.trace.append(f"limit on the link {drive.front.fills.size:g}")
+    drive.trace.append(f"limit on the link {drive.front.fill_limit.size:g}")
     drive.check("grey_parent")
 
 
 def test_a_fetch_that_would_wait_too_long_is_not_begun() -> None:
     drive = Drive()
-    drive.front.fetches.see(60.0, drive.now)
+    drive.front.origin_limit.record_slowdown(60.0, drive.now)
     for number in range(1, 5):
         drive.pull(number, wanted=5)
         drive.lack(number)
@@ -229,7 +233,7 @@
 
 def test_parents_are_drawn_by_the_weight_of_their_links() -> None:
     drive = Drive()
-    drive.tell(i.Members(i.ListKind.CHANGES, (replace(line(21), weight=72.0),)))
+    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (replace(line(21), weight=72.0),)))
     for number in range(1, 9):
         drive.pull(number, wanted=number)
         drive.lack(number)
@@ -239,22 +243,22 @@
 
 def test_a_slow_fetch_behind_a_quick_parent_is_the_origins() -> None:
     drive = Drive()
-    drive.front.link_full = 0.3
+    drive.front.link_utilization = 0.3
     drive.pull(1, wanted=1)
     drive.lack(1)
     drive.end(1, remark=i.Remark.FILLED_FROM_ORIGIN, after=1500.0)
     for number, wanted in ((2, 1), (3, 2)):  # what parents hold is asked for still
         drive.pull(number, wanted=wanted)
         drive.lack(number)
-    drive.trace.append(f"crowd of the parent {drive.front.servers[22].load.crowded(drive.now):.1f}")
+    drive.trace.append(f"crowd of the parent {drive.front.servers[22].limit.slowdown(drive.now):.1f}")
     drive.check("origins_link")
 
 
 def test_with_more_fronts_a_pull_bears_less_of_a_crowd() -> None:
     for name, fronts in (("few", 1), ("many", 16)):
         drive = Drive(replace(SETTINGS, fronts_by_zone=(0, fronts, 1)), caches=(11, *PARENTS, ORIGIN))
-        drive.front.edges[0].load.see(5.0, drive.now)
-        drive.front.edges[0].load.size = 100.0
+        drive.front.edges[0].limit.record_slowdown(5.0, drive.now)
+        drive.front.edges[0].limit.size = 100.0
         drive.pull(1)
         drive.check(f"margin_{name}")
 
@@ -264,10 +268,10 @@
         settings = replace(SETTINGS, fronts=fronts, fronts_by_zone=by_zone, zone=zone, hub_of=())
         drive, cold = Drive(settings, caches=()), line(11, ready_at=1000.0)
         odd = [replace(cold, cache=100 + n, zone=n % 900, kind=n % 70) for n in range(3000)]
-        drive.tell(i.Members(i.ListKind.FULL, (*odd, *odd, replace(cold, zone=zone))))
+        drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, (*odd, *odd, replace(cold, zone=zone))))
         for number in range(1, 4):
             drive.pull(number)
-        drive.tell(i.Members(i.ListKind.FULL, ()))
+        drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, ()))
         drive.pull(9)
         drive.check(f"odd_{fronts}_{zone}")
 
@@ -292,7 +296,7 @@
     drive.end(1, i.Outcome.RESET, i.Remark.NONE)  # the cache answered beside it
     drive.pull(3, wanted=5)
     drive.end(3, i.Outcome.RESET, i.Remark.NONE)  # and now it does not
-    drive.tell(i.Members(i.ListKind.CHANGES, (line(12),)))
+    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(12),)))
     drive.pull(4, wanted=5)
     drive.check("breaks")
 
@@ -300,17 +304,17 @@
 def test_a_front_that_is_late_itself_sheds_early_what_cannot_be_in_time() -> None:
     drive = Drive()
     for number, late in enumerate((0.0, 400.0, 0.0), 1):
-        drive.tell(i.Lagged(late))
+        drive.tell(i.LoopLagged(late))
         drive.pull(number)
     for _ in range(20):
-        drive.tell(i.Lagged(0.0), after=50.0)  # it wears off
+        drive.tell(i.LoopLagged(0.0), after=50.0)  # it wears off
     drive.pull(4)
     drive.check("late")
 
 
 def test_a_struck_parent_is_not_asked_for_what_it_holds() -> None:
     drive = Drive(caches=(11, *PARENTS, ORIGIN))
-    drive.front.usual_wait = 1e6  # the origin is slow: parents give what they hold
+    drive.front.usual_origin_wait = 1e6  # the origin is slow: parents give what they hold
     drive.pull(1)
     drive.lack(1)
     drive.end(1, i.Outcome.MISS, i.Remark.SOURCE_BROKE)
@@ -322,9 +326,9 @@
 def test_a_look_times_out_sooner_than_the_fill_after_it() -> None:
     drive = Drive()
     drive.pull(1)
-    look = drive.last[1].time_out
+    look = drive.last[1].timeout
     drive.lack(1)
-    assert drive.last[1].time_out >= look + 300.0  # it waits for no source
+    assert drive.last[1].timeout >= look + 300.0  # it waits for no source
 
 
 def test_a_cache_that_errs_while_others_do_not_is_passed_over() -> None:
@@ -352,7 +356,7 @@
     monkeypatch.setattr(Server, "__eq__", equal)
     monkeypatch.setattr(Server, "__hash__", object.__hash__)
     entries = [replace(line(12), cache=100 + place) for place in range(400)]
-    drive.tell(i.Members(i.ListKind.FULL, tuple(entries)))
+    drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, tuple(entries)))
     compared[0] = 0
     drive.pull(1)
     drive.end(1)
@@ -379,8 +383,8 @@
         if number == 1:
             drive.lack(number)
         drive.end(number, remark=i.Remark.NONE)
-        edge.loss = 0.2 if number == 1 else edge.loss
-    assert edge.loss < 0.1  # it keeps what it was given
+        edge.eviction_rate = 0.2 if number == 1 else edge.eviction_rate
+    assert edge.eviction_rate < 0.1  # it keeps what it was given
 
 
 def test_the_silence_of_a_source_is_not_laid_to_a_link_whose_fullness_is_not_told() -> None:
@@ -408,7 +412,7 @@
         drive.end(number + 20, *how, after=200.0)
     drive.pull(50, after=8000.0)
     assert drive.last[50].cache == drive.last[50].source == 12
-    assert (drive.last[50].time_out < 400.0) is haste
+    assert (drive.last[50].timeout < 400.0) is haste
 
 
 def test_a_source_slow_beside_a_quick_one_is_not_laid_to_the_link() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -16,11 +16,11 @@
 from typer.testing import CliRunner
 
 from cometseam.cli.main import app
-from cometseam.interface import Allowance, Outcome, Span
-from cometseam.operator import Refused, compiled, evaluate
-from cometseam.operator.load import load, load_apart
+from cometseam.interface import Outcome, RetryBudgetTerms, ScaledDuration
+from cometseam.operator import OperatorFileError, compiled, evaluate
+from cometseam.operator.load import load, load_in_child
 from cometseam.operator.locate import locate
-from cometseam.timing import Sight
+from cometseam.timing import RouteKey
 from tests.drive import SAMPLE
 
 HERE = Path(__file__).parent
@@ -52,8 +52,8 @@
 
 
 def refusal(path: Path, settings: dict[str, Any]) -> str:
-    with pytest.raises(Refused) as caught:
-        load_apart(path, settings)
+    with pytest.raises(OperatorFileError) as caught:
+        load_in_child(path, settings)
     return "\n".join(map(str, caught.value.faults)) + "\n"
 
 
@@ -89,7 +89,7 @@
 def test_a_child_that_loops_is_ended_in_two_seconds(tmp_path: Path) -> None:
     path = tmp_path / "loop.jsonnet"
     path.write_text("local f(n) = f(n + 1) tailstrict; f(0)")
-    load_apart(EXAMPLE, SAMPLE["settings"])  # what is read from disk for the first time takes its own time
+    load_in_child(EXAMPLE, SAMPLE["settings"])  # what is read from disk for the first time takes its own time
     began = time.monotonic()
     assert "too long" in refusal(path, SAMPLE["settings"])
     assert time.monotonic() - began < 2.0 + 1.0  # a machine that runs other tests beside this one
@@ -109,7 +109,7 @@
         return text
 
     monkeypatch.setattr(_jsonnet, "evaluate_snippet", meanwhile)
-    with pytest.raises(Refused, match=r"a\.libsonnet: changed while the file was read"):
+    with pytest.raises(OperatorFileError, match=r"a\.libsonnet: changed while the file was read"):
         evaluate.evaluate(path)
 
 
@@ -128,7 +128,7 @@
         return status
 
     monkeypatch.setattr(os, "fstat", shrinks)
-    with pytest.raises(Refused, match="changed while it was read"):
+    with pytest.raises(OperatorFileError, match="changed while it was read"):
         evaluate.evaluate(path)
 
 
@@ -136,7 +136,7 @@
 def test_what_is_no_file_is_not_read(tmp_path: Path, target: str) -> None:
     path = tmp_path / "link.jsonnet"
     path.symlink_to(target)
-    with pytest.raises(Refused):
+    with pytest.raises(OperatorFileError):
         evaluate.evaluate(path)
 
 
@@ -146,39 +146,39 @@
     (tmp_path / "in" / "link").symlink_to(tmp_path / "secret")
     path = tmp_path / "in" / "main.jsonnet"
     path.write_text("{ version: 1 } + import 'link'")
-    with pytest.raises(Refused, match="outside the folder"):
+    with pytest.raises(OperatorFileError, match="outside the folder"):
         evaluate.evaluate(path)
 
 
 def test_a_large_file_and_many_imports_are_refused(tmp_path: Path) -> None:
     path = tmp_path / "main.jsonnet"
-    path.write_text("//" + " " * evaluate.MOST_BYTES + "\n{ version: 1 }")
-    with pytest.raises(Refused, match="larger than 1 MB"):
+    path.write_text("//" + " " * evaluate.MAX_FILE_BYTES + "\n{ version: 1 }")
+    with pytest.raises(OperatorFileError, match="larger than 1 MB"):
         evaluate.evaluate(path)
-    for number in range(evaluate.MOST_FILES + 1):
+    for number in range(evaluate.MAX_FILES + 1):
         (tmp_path / f"{number}").write_text("{}")
-    path.write_text("{ version: 1 }" + "".join(f" + (import '{n}')" for n in range(evaluate.MOST_FILES + 1)))
-    with pytest.raises(Refused, match="more than 64 files"):
+    path.write_text("{ version: 1 }" + "".join(f" + (import '{n}')" for n in range(evaluate.MAX_FILES + 1)))
+    with pytest.raises(OperatorFileError, match="more than 64 files"):
         evaluate.evaluate(path)
 
 
 def test_the_example_comes_to_what_its_page_says_and_survives_the_way_to_the_front() -> None:
     loaded = load(EXAMPLE, SAMPLE["settings"])
-    apart = load_apart(EXAMPLE, SAMPLE["settings"])
+    apart = load_in_child(EXAMPLE, SAMPLE["settings"])
     assert apart.plans == loaded.compiled.plans and apart.digest == loaded.compiled.digest
-    assert apart.names == ("bulletins", "large grids", "workload grids", "workload maps")
-    assert apart.plans.networks == (Allowance("network visitors", 0.1, 10_000.0, 2.0),)
+    assert apart.route_names == ("bulletins", "large grids", "workload grids", "workload maps")
+    assert apart.plans.network_budgets == (RetryBudgetTerms("network visitors", 0.1, 10_000.0, 2.0),)
     maps = 1
-    station = Sight(maps, 0x7F << 56, 0, 0, 1000, 0xFFFF0A010203)
+    station = RouteKey(maps, 0x7F << 56, 0, 0, 1000, 0xFFFF0A010203)
     found = [
         apart.table.find(sight)
         for sight in (station, station._replace(address=0xFFFF0A01FF03), station._replace(size=400_000))
     ]
-    names = [apart.names[place] if place >= 0 else None for place in found]
+    names = [apart.route_names[place] if place >= 0 else None for place in found]
     assert names == ["bulletins", "workload maps", None]
-    assert apart.table.network(0xFFFF0A020304) == 0 and apart.table.network(0xFFFF0A010203) == -1
+    assert apart.table.find_network(0xFFFF0A020304) == 0 and apart.table.find_network(0xFFFF0A010203) == -1
     plan = apart.plans.plans[apart.table.routes[found[0]][0]]
-    assert (plan.relays, plan.come_back_in, plan.second) == (3, 250.0, Span(40.0, 1.05))
+    assert (plan.relays, plan.come_back_in, plan.second) == (3, 250.0, ScaledDuration(40.0, 1.05))
     assert plan.worth is not None and Outcome.ERROR not in plan.worth
 
 
@@ -194,19 +194,19 @@
     )
     loaded = load(path, SAMPLE["settings"])
     by_name = {entry.name: entry for entry in loaded.compiler.entries}
-    look = (Span(100.0, 2.0), Span(200.0, 0.0))
+    look = (ScaledDuration(100.0, 2.0), ScaledDuration(200.0, 0.0))
     assert by_name["r"].plan.time_outs == (look, (None, None), (None, None))
-    assert by_name["workload maps"].plan.time_outs[1] == (Span(900.0, 0.0), None)
+    assert by_name["workload maps"].plan.time_outs[1] == (ScaledDuration(900.0, 0.0), None)
     assert by_name["workload maps"].plan.allowance is None
-    assert by_name["workload grids"].plan.allowance == Allowance("default", 0.1, 10_000.0, 5.0)
-    assert by_name["r"].origins["time_outs.look.first"] == "default"
-    assert by_name["r"].origins["time_outs.look.further"] == "workloads.maps"
-    assert by_name["r"].origins["time_outs.fill"] == "routes[0]"
+    assert by_name["workload grids"].plan.allowance == RetryBudgetTerms("default", 0.1, 10_000.0, 5.0)
+    assert by_name["r"].value_sources["time_outs.look.first"] == "default"
+    assert by_name["r"].value_sources["time_outs.look.further"] == "workloads.maps"
+    assert by_name["r"].value_sources["time_outs.fill"] == "routes[0]"
 
 
 def test_a_compiled_file_reads_as_it_was_written() -> None:
     loaded = load(EXAMPLE, SAMPLE["settings"])
-    read = compiled.read(compiled.write(loaded.compiled, loaded.networks))
+    read = compiled.decode_compiled(compiled.encode_compiled(loaded.compiled, loaded.network_intervals))
     assert read.plans == loaded.compiled.plans
     for name in ("routes", "roots", "nodes", "leaves", "_terms", "_bounds", "_owners"):
         assert getattr(read.table, name) == getattr(loaded.compiled.table, name), name
