--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -2,70 +2,75 @@
 
 import pytest
 
-from cometseam.ownership import Fence, Owner, Refused, State, Terms
-from cometseam.ownership.explore import explore, wander
+from cometseam.ownership import Fence, Ownership, OwnershipTerms, OwnershipTermsError, State
+from cometseam.ownership.explore import explore, random_walks
 
-TERMS = Terms(ttl_ms=1000.0, margin_ms=250.0, drift=0.01, renew_ms=200.0, round_trip_ms=100.0)
+TERMS = OwnershipTerms(ttl_ms=1000.0, margin_ms=250.0, drift=0.01, renew_ms=200.0, round_trip_ms=100.0)
 
 
-def state(owner: Owner) -> State:
+def state(owner: Ownership) -> State:
     """The owner's state now (a call, so that a type checker does not fix it from an earlier assert)."""
     return owner.state
 
 
-SMALL = Terms(ttl_ms=400.0, margin_ms=100.0, drift=0.05, renew_ms=100.0, round_trip_ms=50.0)
+SMALL = OwnershipTerms(ttl_ms=400.0, margin_ms=100.0, drift=0.05, renew_ms=100.0, round_trip_ms=50.0)
 
 
 @pytest.mark.parametrize(
     ("terms", "reason"),
     [
-        (Terms(80.0, 10.0, 0.01, 50.0, 100.0), "ttl_ms: 80 ms is not longer than a round trip of 100 ms"),
-        (Terms(1000.0, 900.0, 0.01, 50.0, 100.0), "margin_ms: 900 ms leaves 90 ms to act"),
-        (Terms(1000.0, 250.0, 0.2, 200.0, 100.0), "drift: 0.2 is outside 0 to 0.1"),
-        (Terms(1000.0, 250.0, 0.01, 700.0, 100.0), "renew_ms: 700 ms must lie between"),
-        (Terms(1000.0, -1.0, 0.01, 200.0, 100.0), "margin_ms: -1.0 is below 0"),
+        (
+            OwnershipTerms(80.0, 10.0, 0.01, 50.0, 100.0),
+            "ttl_ms: 80 ms is not longer than a round trip of 100 ms",
+        ),
+        (OwnershipTerms(1000.0, 900.0, 0.01, 50.0, 100.0), "margin_ms: 900 ms leaves 90 ms to act"),
+        (OwnershipTerms(1000.0, 250.0, 0.2, 200.0, 100.0), "drift: 0.2 is outside 0 to 0.1"),
+        (OwnershipTerms(1000.0, 250.0, 0.01, 700.0, 100.0), "renew_ms: 700 ms must lie between"),
+        (OwnershipTerms(1000.0, -1.0, 0.01, 200.0, 100.0), "margin_ms: -1.0 is below 0"),
     ],
 )
-def test_terms_that_cannot_keep_one_owner_are_refused_with_a_reason(terms: Terms, reason: str) -> None:
-    with pytest.raises(Refused, match=reason):
+def test_terms_that_cannot_keep_one_owner_are_refused_with_a_reason(
+    terms: OwnershipTerms, reason: str
+) -> None:
+    with pytest.raises(OwnershipTermsError, match=reason):
         terms.check()
 
 
 def test_an_owner_acts_from_when_it_asked_and_stops_before_its_lease_can_end() -> None:
-    owner = Owner("probe", TERMS)
-    assert owner.campaign(0.0)
-    owner.won(7, sent_at=0.0, now=40.0)
+    owner = Ownership("probe", TERMS)
+    assert owner.begin_campaign(0.0)
+    owner.record_won(7, sent_at=0.0, now=40.0)
     assert owner.state is State.OWNER and owner.token == 7
     assert owner.may_act(739.0)
     assert not owner.may_act(740.0)  # 1000 * 0.99 - 250
     assert state(owner) is State.LOSING
-    owner.renewed(sent_at=700.0, ttl_ms=1000.0, now=760.0)
+    owner.record_renewal(sent_at=700.0, ttl_ms=1000.0, now=760.0)
     assert state(owner) is State.OWNER and owner.may_act(1400.0)
-    owner.renewed(
+    owner.record_renewal(
         sent_at=100.0, ttl_ms=1000.0, now=1401.0
     )  # an older keep-alive's late answer moves nothing back
-    assert owner.until() == 700.0 + TERMS.acting_ms
+    assert owner.may_act_until() == 700.0 + TERMS.acting_window_ms
 
 
 def test_an_owner_that_hears_its_lease_or_key_is_gone_has_lost_and_campaigns_again() -> None:
-    owner = Owner("probe", TERMS)
-    owner.campaign(0.0)
-    owner.won(7, 0.0, 10.0)
-    owner.saw(9, 20.0)
+    owner = Ownership("probe", TERMS)
+    owner.begin_campaign(0.0)
+    owner.record_won(7, 0.0, 10.0)
+    owner.record_key_holder(9, 20.0)
     assert owner.state is State.LOST and not owner.may_act(21.0)
-    assert owner.campaign(30.0) and state(owner) is State.CANDIDATE
-    owner.won(11, 30.0, 31.0)
-    owner.renewed(100.0, 0.0, 110.0)
+    assert owner.begin_campaign(30.0) and state(owner) is State.CANDIDATE
+    owner.record_won(11, 30.0, 31.0)
+    owner.record_renewal(100.0, 0.0, 110.0)
     assert state(owner) is State.LOST
-    changes = owner.drain()
-    assert [c.why for c in changes] == ["won", "held by another", "campaign again", "won", "lease gone"]
-    assert owner.drain() == []
+    changes = owner.pop_changes()
+    assert [c.reason for c in changes] == ["won", "held by another", "campaign again", "won", "lease gone"]
+    assert owner.pop_changes() == []
 
 
 def test_a_win_told_after_the_lease_may_have_ended_does_not_let_it_act() -> None:
-    owner = Owner("probe", TERMS)
-    owner.campaign(0.0)
-    owner.won(3, sent_at=0.0, now=900.0)  # the answer came late: the time to act was over
+    owner = Ownership("probe", TERMS)
+    owner.begin_campaign(0.0)
+    owner.record_won(3, sent_at=0.0, now=900.0)  # the answer came late: the time to act was over
     assert owner.state is State.LOSING and not owner.may_act(900.0)
 
 
@@ -75,7 +80,7 @@
     assert fence.admit("probe", 5).passed
     assert fence.admit("probe", 9).passed
     refused = fence.admit("probe", 5)
-    assert not refused.passed and refused.highest == 9
+    assert not refused.passed and refused.highest_token == 9
     assert not fence.admit("probe", 0).passed
     assert fence.admit("purge", 2).passed  # tasks apart
     fence.forget("probe")
@@ -84,31 +89,35 @@
 
 
 def test_every_interleaving_of_three_fronts_keeps_one_owner_at_a_time() -> None:
-    found = explore(SMALL, fronts=3, depth=12, limit=8)
+    found = explore(SMALL, fronts=3, depth=12, max_time_steps=8)
     assert found.states > 10_000
-    assert found.fenced is None and found.alone is None
+    assert found.fencing_violation is None and found.exclusivity_violation is None
 
 
 def test_without_the_fence_the_shortest_counterexample_is_the_late_effect() -> None:
-    found = explore(SMALL, fronts=3, depth=12, limit=8, enforce=False)
-    assert found.fenced is not None
-    assert found.fenced[-1].endswith("lands") and "wins" in " ".join(found.fenced)
-    assert found.alone is None  # the fronts themselves never overlapped: only the effect in flight was late
+    found = explore(SMALL, fronts=3, depth=12, max_time_steps=8, enforce=False)
+    assert found.fencing_violation is not None
+    assert found.fencing_violation[-1].endswith("lands") and "wins" in " ".join(found.fencing_violation)
+    # The fronts themselves never overlapped: only the effect in flight was late.
+    assert found.exclusivity_violation is None
 
 
 def test_a_clock_slower_than_the_drift_allows_overlaps_and_the_fence_still_holds() -> None:
-    found = explore(SMALL, fronts=3, depth=12, limit=8, rates=(1.0, 1.0, 0.5))
-    assert found.alone is not None and found.alone[0] == "f2 wins 2"
-    assert found.fenced is None
+    found = explore(SMALL, fronts=3, depth=12, max_time_steps=8, rates=(1.0, 1.0, 0.5))
+    assert found.exclusivity_violation is not None and found.exclusivity_violation[0] == "f2 wins 2"
+    assert found.fencing_violation is None
 
 
 def test_seeded_walks_deeper_than_the_exhaustive_depth_find_nothing_and_repeat() -> None:
-    first = wander(SMALL, fronts=3, walks=100, length=300, seed=0)
-    assert first.fenced is None and first.alone is None and first.states == 30_000
+    first = random_walks(SMALL, fronts=3, walks=100, length=300, seed=0)
+    assert first.fencing_violation is None and first.exclusivity_violation is None and first.states == 30_000
     # The same budget with the fence off: a walk finds the late effect, and the same seed finds the same one.
-    again = wander(SMALL, fronts=3, walks=200, length=300, seed=0, enforce=False)
-    assert again.fenced is not None and again.fenced[-1].endswith("lands")
-    assert wander(SMALL, fronts=3, walks=200, length=300, seed=0, enforce=False).fenced == again.fenced
+    again = random_walks(SMALL, fronts=3, walks=200, length=300, seed=0, enforce=False)
+    assert again.fencing_violation is not None and again.fencing_violation[-1].endswith("lands")
+    assert (
+        random_walks(SMALL, fronts=3, walks=200, length=300, seed=0, enforce=False).fencing_violation
+        == again.fencing_violation
+    )
 
 
 def test_what_run_starts_imports_nothing_of_coordination() -> None:
@@ -124,9 +133,9 @@
 
 def test_an_owner_unheard_for_a_whole_lease_more_gives_the_task_up() -> None:
     """Its keep-alives may still reach the service and hold the key for nobody: it must stop renewing."""
-    owner = Owner("probe", TERMS)
-    owner.campaign(0.0)
-    owner.won(4, 0.0, 10.0)
+    owner = Ownership("probe", TERMS)
+    owner.begin_campaign(0.0)
+    owner.record_won(4, 0.0, 10.0)
     owner.tick(1000.0)
     assert state(owner) is State.LOSING
     owner.tick(1739.0)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -13,13 +13,13 @@
 from cometseam import interface as i
 from cometseam.operator.compile import Compiler
 from cometseam.operator.platform import Platform
-from cometseam.operator.schema import form
-from cometseam.settings import Links, Names
-from cometseam.timing import Sight, whole_size
+from cometseam.operator.schema import validate_file
+from cometseam.settings import NameTables, NetworkSettings
+from cometseam.timing import RouteKey, size_in_bytes
 from tests.drive import SERVERS, SETTINGS, Drive, line
 from tests.standins.scripted import Said, World
 
-SLOW = i.Plan("slow", time_outs=((i.Span(80.0, 1.0), None),) * 3)
+SLOW = i.Plan("slow", time_outs=((i.ScaledDuration(80.0, 1.0), None),) * 3)
 
 
 def planned(drive: Drive, number: int, plan: int = 0, wanted: int = 5, workload: int = 0) -> None:
@@ -36,22 +36,22 @@
 
 def test_a_plan_sets_the_times_of_looks_fills_and_further_relays() -> None:
     spans = (
-        (i.Span(50.0, 1.0), i.Span(60.0, 1.0)),
-        (i.Span(200.0, 2.0), None),
-        (i.Span(300.0, 0.0), None),
+        (i.ScaledDuration(50.0, 1.0), i.ScaledDuration(60.0, 1.0)),
+        (i.ScaledDuration(200.0, 2.0), None),
+        (i.ScaledDuration(300.0, 0.0), None),
     )
     drive = driven(i.Plan("a", time_outs=spans))
     planned(drive, 1)
-    assert drive.last[1].time_out == 150.0  # 500 KB take 100 ms
+    assert drive.last[1].timeout == 150.0  # 500 KB take 100 ms
     drive.lack(1)
-    assert drive.last[1].time_out == 400.0
+    assert drive.last[1].timeout == 400.0
     planned(drive, 2, wanted=6)
     drive.end(2, i.Outcome.RESET, i.Remark.NONE)
-    assert drive.last[2].time_out == 160.0  # a look again, after a failure
+    assert drive.last[2].timeout == 160.0  # a look again, after a failure
     planned(drive, 4, workload=3)  # it can't be cached
-    assert drive.last[4].time_out == 300.0
+    assert drive.last[4].timeout == 300.0
     drive.pull(3, wanted=7)
-    assert drive.last[3].time_out == 600.0  # without a plan: four times its own time, and 200 ms
+    assert drive.last[3].timeout == 600.0  # without a plan: four times its own time, and 200 ms
 
 
 def test_relays_that_may_fail_are_counted_and_looks_that_lack_are_not() -> None:
@@ -82,7 +82,9 @@
 
     def caught(now: float, event: i.Event) -> list[i.Action]:
         actions = handle(now, event)
-        asked.extend((action.mark, now + action.after) for action in actions if isinstance(action, i.Wake))
+        asked.extend(
+            (action.timer_id, now + action.delay) for action in actions if isinstance(action, i.StartTimer)
+        )
         return actions
 
     drive.front.handle = caught  # type: ignore[method-assign]
@@ -96,9 +98,9 @@
     first = drive.last[1].cache
     drive.end(1, i.Outcome.RESET, i.Remark.NONE)
     assert drive.relays[1] == 0 and asked == [(1 << 16 | 0xFFFF, drive.now + 100.0)]
-    other = next(edge.told.cache for edge in drive.front.held[1].drawn if edge.told.cache != first)
-    drive.tell(i.Members(i.ListKind.CHANGES, (line(other, i.Lifecycle.DRAINING),)), 50.0)
-    drive.tell(i.Rang(asked[0][0]), 50.0)
+    other = next(edge.entry.cache for edge in drive.front.pending[1].hash_order if edge.entry.cache != first)
+    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(other, i.Lifecycle.DRAINING),)), 50.0)
+    drive.tell(i.TimerFired(asked[0][0]), 50.0)
     assert drive.relays[1] == 1 and drive.last[1].cache not in (first, other)
 
 
@@ -108,8 +110,8 @@
     planned(drive, 1)
     drive.end(1, i.Outcome.RESET, i.Remark.NONE)
     drive.tell(i.Purged(5, 3, 0.0), 40.0)
-    drive.tell(i.Rang(asked[0][0]), 60.0)
-    assert drive.last[1].oldest == 60.0
+    drive.tell(i.TimerFired(asked[0][0]), 60.0)
+    assert drive.last[1].max_age == 60.0
 
 
 def test_a_pull_that_leaves_in_its_wait_is_forgotten_and_its_timer_does_nothing() -> None:
@@ -117,10 +119,10 @@
     asked = marks(drive)
     planned(drive, 1)
     drive.end(1, i.Outcome.RESET, i.Remark.NONE)
-    drive.tell(i.HungUp(1))
-    assert not drive.front.held
+    drive.tell(i.ClientDisconnected(1))
+    assert not drive.front.pending
     before = list(drive.trace)
-    drive.tell(i.Rang(asked[0][0]), 100.0)
+    drive.tell(i.TimerFired(asked[0][0]), 100.0)
     assert drive.trace == before
 
 
@@ -143,7 +145,7 @@
     assert len(asked) == 1 and drive.relays[2] == 1
 
 
-SECOND = i.Plan("second", second=i.Span(120.0, 0.0))
+SECOND = i.Plan("second", second=i.ScaledDuration(120.0, 0.0))
 
 
 def test_a_second_copy_goes_elsewhere_only_when_the_first_counts_as_out_no_more() -> None:
@@ -151,30 +153,30 @@
     asked = marks(drive)
     planned(drive, 1)
     first = drive.last[1]
-    drive.tell(i.Rang(asked[0][0]), 120.0)
+    drive.tell(i.TimerFired(asked[0][0]), 120.0)
     assert "pull 1: recall" in drive.trace[-1] and drive.relays[1] == 0
     drive.end(1, i.Outcome.CANCELLED, i.Remark.NONE, after=1.0)
     assert drive.relays[1] == 1 and drive.last[1].cache != first.cache
-    drive.tell(i.Rang(asked[0][0]), 1.0)  # the first relay's timer says nothing of the second
+    drive.tell(i.TimerFired(asked[0][0]), 1.0)  # the first relay's timer says nothing of the second
     assert "recall" not in drive.trace[-1]
 
 
 def test_an_answer_on_its_way_wins_over_the_give_up_and_the_budget_is_charged_once() -> None:
-    terms = i.Allowance("route", 0.0, 10_000.0, 5.0)
+    terms = i.RetryBudgetTerms("route", 0.0, 10_000.0, 5.0)
     drive = driven(replace(SECOND, allowance=terms))
     asked = marks(drive)
     planned(drive, 1)
-    drive.tell(i.Rang(asked[0][0]), 120.0)
+    drive.tell(i.TimerFired(asked[0][0]), 120.0)
     drive.end(1)  # it was answered before the give-up took effect
-    assert not drive.front.held and drive.front.plans.budgets[terms].further == 0
+    assert not drive.front.pending and drive.front.active_plans.budgets[terms].further_relays == 0
     planned(drive, 2)
-    drive.tell(i.Rang(asked[1][0]), 120.0)
+    drive.tell(i.TimerFired(asked[1][0]), 120.0)
     drive.end(2, i.Outcome.CANCELLED, i.Remark.NONE, after=1.0)
-    late = i.Ended(2, 0, 11, i.Outcome.OK, i.Remark.HIT, 130.0, 0.0, False, ())
+    late = i.RelayEnded(2, 0, 11, i.Outcome.OK, i.Remark.HIT, 130.0, 0.0, False, ())
     drive.tell(late)  # the first one's answer, late
-    assert 2 in drive.front.held and drive.front.plans.budgets[terms].further == 1
+    assert 2 in drive.front.pending and drive.front.active_plans.budgets[terms].further_relays == 1
     drive.end(2)
-    assert not drive.front.held
+    assert not drive.front.pending
 
 
 @pytest.mark.parametrize("why", ["alone", "struck", "no room", "not worth it", "no recalls"])
@@ -185,26 +187,26 @@
     if why == "alone":
         caches = (12, 21, 31)
     elif why == "no room":
-        plan = replace(plan, allowance=i.Allowance("route", 0.0, 1000.0, 0.0))
+        plan = replace(plan, allowance=i.RetryBudgetTerms("route", 0.0, 1000.0, 0.0))
     elif why == "not worth it":
         plan = replace(plan, worth=frozenset({i.Outcome.RESET}))
     elif why == "no recalls":
-        rules = replace(SETTINGS, recalls=False)
+        rules = replace(SETTINGS, can_recall=False)
     drive = driven(plan, settings=rules, caches=caches)
     asked = marks(drive)
     planned(drive, 1)
     if why == "struck":
         for edge in drive.front.edges:
-            edge.strikes, edge.sick_until = 1, float("inf")
+            edge.consecutive_failures, edge.ejected_until = 1, float("inf")
     if why == "no recalls":
         assert asked == []
         return
-    drive.tell(i.Rang(asked[0][0]), 120.0)
+    drive.tell(i.TimerFired(asked[0][0]), 120.0)
     assert "recall" not in " ".join(drive.trace)
 
 
 def test_a_spent_budget_sheds_at_once_with_the_plans_time_to_come_back() -> None:
-    terms = i.Allowance("route", 0.0, 10_000.0, 1.0)
+    terms = i.RetryBudgetTerms("route", 0.0, 10_000.0, 1.0)
     drive = driven(i.Plan("a", allowance=terms, come_back_in=321.0))
     told: list[i.Action] = []
     handle = drive.front.handle
@@ -215,16 +217,16 @@
         drive.front.handle(drive.now, pull)
         sent = next(action for action in told if isinstance(action, i.Relay))
         told.clear()
-        ended = i.Ended(number, 0, sent.cache, i.Outcome.RESET, i.Remark.NONE, 1.0, 0.0, False, ())
+        ended = i.RelayEnded(number, 0, sent.cache, i.Outcome.RESET, i.Remark.NONE, 1.0, 0.0, False, ())
         drive.front.handle(drive.now + 1.0, ended)
         assert [type(action) for action in told] == [i.Relay if number == 1 else i.Shed]
     assert told == [i.Shed(2, 321.0)]
 
 
-NAMES = Names(
+NAMES = NameTables(
     ("maps", "tagged", "once", "direct"), ("hub", "here", "there"), ("edge", "parent", "origin"), ("x1",)
 )  # fmt: skip
-PLATFORM = Platform(SETTINGS, NAMES, Links(32, 400.0, 15000.0, 3000.0, 8.0))
+PLATFORM = Platform(SETTINGS, NAMES, NetworkSettings(32, 400.0, 15000.0, 3000.0, 8.0))
 ms = some.integers(1, 900).map(lambda value: f"{value}ms")
 span = some.fixed_dictionaries({"base": ms, "part": some.sampled_from([0, 0.5, 1, 1.5, 3])})
 plan_forms = some.fixed_dictionaries(
@@ -277,24 +279,27 @@
         "default": default if workload == 0 else {},
         "workloads": {NAMES.workloads[workload]: mine},
     }
-    file, faults = form(json.loads(json.dumps(value)))
+    file, faults = validate_file(json.loads(json.dumps(value)))
     assert file is not None, faults
     compiler = Compiler(file, PLATFORM)
     if compiler.faults:
         seen["refused"] += 1
         return
     seen["good"] += 1
-    compiled, _ = compiler.compiled("")
+    compiled, _ = compiler.build("")
     world = World(SETTINGS, tuple(line(cache) for cache in SERVERS), at_random, seed)
     world.tell(compiled.plans)
     chance = Random(seed)
     for number in range(1, 31):
         wanted, size_kb = chance.randrange(5), chance.choice((5.0, 100.0, 500.0))
-        found = compiled.table.find(Sight(workload, wanted, 3, 0, whole_size(size_kb), 1))
+        found = compiled.table.find(RouteKey(workload, wanted, 3, 0, size_in_bytes(size_kb), 1))
         plan = compiled.table.routes[found][0]
         due = number * chance.choice((1.0, 60.0))
         world.pull(due, i.Pull(number, wanted, 0, workload, 2000.0, False, size_kb, 3, plan))
-    world.at(300.0, lambda: world.tell(i.Members(i.ListKind.CHANGES, (line(11, i.Lifecycle.DRAINING),))))
+    world.at(
+        300.0,
+        lambda: world.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(11, i.Lifecycle.DRAINING),))),
+    )
     world.at(500.0, lambda: world.tell(compiled.plans))
     world.run()
     assert world.judge() == []
@@ -313,7 +318,7 @@
     def behave(now: float, relay: i.Relay, pull: i.Pull, chance: Random) -> Said:
         if start <= now < end:
             return Said(chance.uniform(1.0, 5.0), i.Outcome.ERROR, i.Remark.NONE)
-        return Said(pull.size_kb / SETTINGS.pace + chance.uniform(1.0, 5.0))
+        return Said(pull.size_kb / SETTINGS.stream_rate + chance.uniform(1.0, 5.0))
 
     return behave
 
@@ -332,7 +337,7 @@
 
 
 def test_in_an_outage_further_relays_stay_in_the_budget_and_service_is_back_in_2_s() -> None:
-    terms = i.Allowance("front", 0.1, 5000.0, 5.0)
+    terms = i.RetryBudgetTerms("front", 0.1, 5000.0, 5.0)
     world = outage(i.Plans((i.Plan("a"),), (), terms))
     assert world.judge() == []
     assert world.further < 0.5 * outage(i.Plans((i.Plan("a"),))).further  # without a budget many more go
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,9 +14,14 @@
 import anyio
 import pytest
 
-from cometseam.operator.compiled import Refused, write
+from cometseam.operator.compiled import OperatorFileError, encode_compiled
+from cometseam.operator.compiled_file import (
+    decode_compiled_file,
+    encode_compiled_file,
+    load_compiled_file,
+    read_bounded,
+)
 from cometseam.operator.load import load
-from cometseam.operator.sealed import load_sealed, read_bounded, seal, unseal
 from tests.drive import SAMPLE, World, order, world
 from tests.test_operator import EXAMPLE
 
@@ -52,7 +57,9 @@
         source = path.with_suffix(".jsonnet")
         source.write_text(text)
     loaded = load(source, SAMPLE["settings"])
-    path.write_bytes(seal(write(loaded.compiled, loaded.networks), SAMPLE["settings"]))
+    path.write_bytes(
+        encode_compiled_file(encode_compiled(loaded.compiled, loaded.network_intervals), SAMPLE["settings"])
+    )
     return path
 
 
@@ -116,7 +123,7 @@
     path = sealed(tmp_path / "operator.json")
     text = path.read_bytes()
     settings = SAMPLE["settings"]
-    assert load_sealed(path, settings).digest == load(EXAMPLE, settings).compiled.digest
+    assert load_compiled_file(path, settings).digest == load(EXAMPLE, settings).compiled.digest
     whole = json.loads(text)
     edited = json.loads(text)
     edited["compiled"]["names"][0] = "other"
@@ -132,12 +139,12 @@
         b'{"sealed": NaN}': "its JSON can't be read",
     }
     for bad, reason in wrong.items():
-        with pytest.raises(Refused) as refused:
-            unseal(bad, settings)
+        with pytest.raises(OperatorFileError) as refused:
+            decode_compiled_file(bad, settings)
         assert reason in str(refused.value), (bad[:60], refused.value)
-    with pytest.raises(Refused, match="other settings"):
-        unseal(text, other)
+    with pytest.raises(OperatorFileError, match="other settings"):
+        decode_compiled_file(text, other)
     big = tmp_path / "big.json"
     big.write_bytes(b" " * 10 + text)
-    with pytest.raises(Refused, match="larger than"):
-        read_bounded(big, most=len(text))
+    with pytest.raises(OperatorFileError, match="larger than"):
+        read_bounded(big, max_bytes=len(text))
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -3,10 +3,10 @@
 import pytest
 
 from cometseam.interface import Outcome, Remark
-from cometseam.protocol import Malformed, changelog, frames, resp
-from cometseam.reading import Faulty, Section
-from cometseam.settings import Names
-from cometseam.transport.buffers import SIZE, Chain, Pool
+from cometseam.json_section import FieldError, Section
+from cometseam.protocol import ProtocolError, discovery_events, frames, resp
+from cometseam.settings import NameTables
+from cometseam.transport.buffers import BUFFER_SIZE_BYTES, BufferPool, MessageBuffer
 from tests.drive import SAMPLE, frame, order
 from tests.drive import resp as array
 
@@ -24,37 +24,37 @@
     return out
 
 
-@pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1000, SIZE, 1 << 20])
+@pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1000, BUFFER_SIZE_BYTES, 1 << 20])
 def test_frames_read_the_same_however_they_are_split(size: int) -> None:
-    pool = Pool(1 << 22)
+    pool = BufferPool(1 << 22)
     raw = order(1) + frame(18, 1) + order(2, BIG, got=TAG) + frame(32, 3) + order(4, b"small")
-    got = feed(frames.Decoder(pool.room), raw, size)
+    got = feed(frames.Decoder(pool.allocate), raw, size)
     assert [(item.type, item.stream) for item in got if isinstance(item, frames.Frame)] == [
         (16, 1), (18, 1), (16, 2), (32, 3), (16, 4),
     ]  # fmt: skip
     for item, body in zip((got[0], got[2], got[4]), (b"", BIG, b"small"), strict=True):
         assert isinstance(item, frames.Frame)
-        read = frames.read_order(item)
+        read = frames.read_pull_request(item)
         assert b"".join(read.body()) == body and read.held_tag == (TAG if body is BIG else "")
         assert (read.workload, read.object, read.part, read.group) == ("maps", "7f3a9c21e0b4d655", 3, 17)
         item.free()
-    assert pool.out == 0
+    assert pool.in_use == 0
 
 
-@pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1000, SIZE, 1 << 20])
+@pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1000, BUFFER_SIZE_BYTES, 1 << 20])
 def test_answers_read_the_same_however_they_are_split(size: int) -> None:
-    pool = Pool(1 << 22)
+    pool = BufferPool(1 << 22)
     raw = array("a1", "LACK", "why=merged,rep=util:0.5;x1:-0.1", b"") + array("alive", "FIT")
     raw += array("a2", "DONE", f"tag={TAG},minted=1,why=fetched,lag=2.5", BIG) + array("a3", "WAIT", "-")
-    got = feed(resp.Decoder(pool.room), raw, size)
+    got = feed(resp.Decoder(pool.allocate), raw, size)
     lack, fit, done, wait = (item for item in got if isinstance(item, resp.Answer))
     assert (lack.id, lack.outcome, lack.remark) == ("a1", Outcome.MISS, Remark.JOINED)
-    assert lack.load == {"util": 0.5, "x1": -0.1} and fit.word == resp.ALIVE
+    assert lack.load == {"util": 0.5, "x1": -0.1} and fit.word == resp.HELLO_REPLY
     assert (done.outcome, done.remark, done.waited) == (Outcome.OK, Remark.FILLED, 2.5)
     assert done.body is not None and b"".join(done.body.views()) == BIG
     assert wait.outcome is Outcome.FULL and wait.body is None
     done.body.free()
-    assert pool.out == 0
+    assert pool.in_use == 0
 
 
 @pytest.mark.parametrize(
@@ -69,26 +69,26 @@
     ],
 )  # fmt: skip
 def test_answers_that_cannot_be_read_are_refused_and_keep_nothing(raw: bytes) -> None:
-    pool = Pool(1 << 22)
-    decoder = resp.Decoder(pool.room)
-    with pytest.raises(Malformed):
+    pool = BufferPool(1 << 22)
+    decoder = resp.Decoder(pool.allocate)
+    with pytest.raises(ProtocolError):
         feed(decoder, raw, 5)
     decoder.close()
-    assert pool.out == 0
+    assert pool.in_use == 0
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 0xFFFFFFFF])
 def test_frames_of_a_length_out_of_bounds_are_refused(length: int) -> None:
-    with pytest.raises(Malformed):
-        feed(frames.Decoder(Pool(1 << 22).room), length.to_bytes(4, "big") + bytes(5), 3)
+    with pytest.raises(ProtocolError):
+        feed(frames.Decoder(BufferPool(1 << 22).allocate), length.to_bytes(4, "big") + bytes(5), 3)
 
 
 def test_where_no_room_is_left_a_decoder_takes_no_more_and_goes_on_later() -> None:
-    pool = Pool(1)  # the least: two of the largest messages
-    first, second = pool.room(8 * SIZE), pool.room(8 * SIZE)
-    assert isinstance(first, Chain) and isinstance(second, Chain) and pool.room(1) is None
+    pool = BufferPool(1)  # the least: two of the largest messages
+    first, second = pool.allocate(8 * BUFFER_SIZE_BYTES), pool.allocate(8 * BUFFER_SIZE_BYTES)
+    assert isinstance(first, MessageBuffer) and isinstance(second, MessageBuffer) and pool.allocate(1) is None
     raw = array("a", "DONE", "-", BIG)
-    decoder, out = resp.Decoder(pool.room), list[resp.Answer]()
+    decoder, out = resp.Decoder(pool.allocate), list[resp.Answer]()
     taken = decoder.feed(memoryview(raw), out)
     assert taken < 100 and decoder.feed(memoryview(raw)[taken:], out) == 0 and not out
     first.free()
@@ -99,15 +99,15 @@
 
 
 def test_an_answer_that_nobody_wants_any_more_is_passed_over() -> None:
-    pool = Pool(1 << 22)
+    pool = BufferPool(1 << 22)
     raw, out = array("a", "DONE", "-", BIG) + array("b", "PAST", "-", b""), list[resp.Answer]()
-    decoder = resp.Decoder(pool.room)
+    decoder = resp.Decoder(pool.allocate)
     decoder.feed(memoryview(raw)[:1000], out)
-    assert pool.out == 3
-    decoder.drop("a")
-    assert pool.out == 0
+    assert pool.in_use == 3
+    decoder.discard("a")
+    assert pool.in_use == 0
     decoder.feed(memoryview(raw)[1000:], out)
-    assert [(answer.id, answer.outcome) for answer in out] == [("a", Outcome.OK), ("b", Outcome.MOOT)]
+    assert [(answer.id, answer.outcome) for answer in out] == [("a", Outcome.OK), ("b", Outcome.NOT_SENT)]
 
 
 def test_a_relay_is_written_as_the_protocol_says() -> None:
@@ -122,7 +122,7 @@
 
 
 def test_events_of_the_change_log_are_read_each_for_itself() -> None:
-    names = Names(("maps",), ("north", "middle", "edge-1"), ("standard", "parent", "origin"), ())
+    names = NameTables(("maps",), ("north", "middle", "edge-1"), ("standard", "parent", "origin"), ())
     line = SAMPLE["known"]["results"][0]["fleet"]["endpoints"][0]
 
     def fleet(seq: int, **changed: object) -> dict[str, object]:
@@ -132,10 +132,13 @@
            fleet(6, weight="x"), {"seq": 7, "invalidate": {"object": "x", "time": 1}},
            {"seq": 8, "invalidate": {"time": 1}}]  # fmt: skip
     good = [{"seq": 9, "invalidate": {"bucket": 17, "time": 5}}, fleet(1)]
-    told = changelog.read_changes(Section({"seq": 9, "results": [*odd, *good]}), names)
+    told = discovery_events.read_events(Section({"seq": 9, "results": [*odd, *good]}), names)
     assert [change.seq for change in told] == list(range(1, 10))
-    assert isinstance(told[0], changelog.Listing) and (told[0].lines[0].zone, told[0].lines[0].kind) == (2, 0)
-    assert all(isinstance(change, changelog.Unusable) for change in told[1:8])
-    assert told[8] == changelog.Purge(9, 0, 17, 5.0)
-    with pytest.raises(Faulty, match="results"):
-        changelog.read_changes(Section({"seq": 1}), names)
+    assert isinstance(told[0], discovery_events.EndpointList) and (
+        told[0].entries[0].zone,
+        told[0].entries[0].kind,
+    ) == (2, 0)
+    assert all(isinstance(change, discovery_events.UnusableEvent) for change in told[1:8])
+    assert told[8] == discovery_events.Purge(9, 0, 17, 5.0)
+    with pytest.raises(FieldError, match="results"):
+        discovery_events.read_events(Section({"seq": 1}), names)
--- a/tests/test_timers_first.py
+++ b/tests/test_timers_first.py
@@ -13,7 +13,7 @@
 import anyio
 import pytest
 
-from cometseam.transport.attempt import How
+from cometseam.transport.attempt import EndReason
 from tests.drive import order, resp
 from tests.test_endings import TAG, Whole, clients, one_peer, turns
 
@@ -48,7 +48,7 @@
                 await turns()
             cache.sendall(resp(f"{1:016x}", "DONE", f"tag={TAG},minted=1", b"in time"))
             time.sleep(0.3)
-            assert await here.ended() == [How.ANSWERED]
+            assert await here.ended() == [EndReason.ANSWERED]
         answer = here.ends[0].answer
         assert answer is not None and answer.body is not None
         answer.body.free()
@@ -73,7 +73,7 @@
             while not ask.written_at and not here.ends:
                 await turns()
             assert waits == 1 and not here.ends and cache.recv(64)
-            here.peer._stop(ask, How.GIVEN_UP)
+            here.peer._stop(ask, EndReason.GIVEN_UP)
 
 
 async def test_a_frame_whose_rest_lies_unread_does_not_end_its_connection() -> None:
@@ -88,7 +88,7 @@
         sock.send(raw[20:])
         client._half_since -= 2500.0  # the front has stood still meanwhile
         assert not client.is_overdue()
-        client.end_half_frame()
+        client.reject_incomplete_frame()
         await pulls.news.until(lambda: pulls.taken)
         sock.close()
 
@@ -100,16 +100,16 @@
         await pulls.news.until(lambda: pulls.taken)
         client, stream = pulls.taken[0]
         body = Whole(4_000_000)
-        client.served(stream, False, body)
-        assert client._connection.is_stuck
+        client.answer_served(stream, False, body)
+        assert client._connection.is_write_blocked
         got = 0
         while True:  # what the system holds; the front has no turn
             try:
                 got += len(sock.recv(1 << 20))
             except BlockingIOError:
                 break
-        client._connection.stuck_since -= LONG
-        listener.make_room(LONG)
+        client._connection.write_blocked_since -= LONG
+        listener.close_stalled(LONG)
         assert client in listener.clients
         while got < len(body.bytes):  # it comes whole
             await anyio.wait_readable(sock)
@@ -125,9 +125,9 @@
         sock.send(order(1))
         await pulls.news.until(lambda: pulls.taken)
         client, stream = pulls.taken[0]
-        client.served(stream, False, Whole(4_000_000))
-        assert client._connection.is_stuck
-        client._connection.stuck_since -= LONG
-        listener.make_room(LONG)
+        client.answer_served(stream, False, Whole(4_000_000))
+        assert client._connection.is_write_blocked
+        client._connection.write_blocked_since -= LONG
+        listener.close_stalled(LONG)
         assert client not in listener.clients
         sock.close()
--- a/tests/test_unconfirmed_list.py
+++ b/tests/test_unconfirmed_list.py
@@ -13,10 +13,16 @@
 import anyio
 import pytest
 
-from cometseam.discovery import Confirmation, ConfirmationTerms, EventSequence
-from cometseam.discovery.confirmation import Cause
+from cometseam.discovery import ConfirmationPolicy, ConfirmationTracker, EventSequence
+from cometseam.discovery.confirmation import UnconfirmedCause
 from cometseam.interface import Lifecycle
-from cometseam.protocol.changelog import Change, Line, Listing, Purge, Unusable
+from cometseam.protocol.discovery_events import (
+    DiscoveryEvent,
+    EndpointEntry,
+    EndpointList,
+    Purge,
+    UnusableEvent,
+)
 from tests.drive import Caller, World, frame, order, world
 from tests.standins.discovery import Discovery
 from tests.test_late_drain import DRAINING, GRACE, Scene, next_poll, notified, request, scene
@@ -128,24 +134,24 @@
         assert its.late(drained_at + GRACE) == []
 
 
-def line(name: str, state: Lifecycle) -> Line:
-    return Line(name, ("127.0.0.1", 1), 0, 0, 0, state, 1.0, 0.0)
+def line(name: str, state: Lifecycle) -> EndpointEntry:
+    return EndpointEntry(name, ("127.0.0.1", 1), 0, 0, 0, state, 1.0, 0.0)
 
 
 def test_drains_and_purges_behind_an_event_that_cannot_be_used_act_at_once() -> None:
-    drain = Listing(4, False, (line("a", Lifecycle.DRAINING), line("b", Lifecycle.READY)))
+    drain = EndpointList(4, False, (line("a", Lifecycle.DRAINING), line("b", Lifecycle.READY)))
     purge = Purge(5, 7, 0, 1000.0)
     sequence = EventSequence(1)
-    answer: list[Change] = [Unusable(2, "odd"), Unusable(3, "odd", drain), drain, purge]
+    answer: list[DiscoveryEvent] = [UnusableEvent(2, "odd"), UnusableEvent(3, "odd", drain), drain, purge]
     first = sequence.accept(answer)
-    assert first.fault and sequence.last == 1
-    told = [each for each in first.changes if isinstance(each, Listing)]
-    assert [{each.name for each in change.lines} for change in told] == [{"a"}, {"a"}]
-    assert first.changes[-1] == purge
+    assert first.error and sequence.last_seq == 1
+    told = [each for each in first.events if isinstance(each, EndpointList)]
+    assert [{each.name for each in change.entries} for change in told] == [{"a"}, {"a"}]
+    assert first.events[-1] == purge
     second = sequence.accept(answer)  # each is still taken in its turn
-    assert second.fault and sequence.last == 2
+    assert second.error and sequence.last_seq == 2
     sequence.accept(answer[1:])
-    assert sequence.last == 5
+    assert sequence.last_seq == 5
 
 
 async def test_a_drain_behind_an_event_that_cannot_be_read_is_known_in_time_though_discovery_is_slow(
@@ -166,69 +172,75 @@
         tasks.cancel_scope.cancel()
 
 
-TERMS = ConfirmationTerms()
+TERMS = ConfirmationPolicy()
 
 
-def watched(since: float = 0.0) -> Confirmation:
+def watched(since: float = 0.0) -> ConfirmationTracker:
     """A front that discovery has answered, with a poll outstanding since then."""
-    confirmation = Confirmation(TERMS, since)
-    confirmation.asked(1, since, 1.0, is_watch=False)
-    assert confirmation.answered(1, since) is not None
-    confirmation.asked(1, since, 1500.0, is_watch=True)
+    confirmation = ConfirmationTracker(TERMS, since)
+    confirmation.poll_sent(1, since, 1.0, is_long_poll=False)
+    assert confirmation.poll_answered(1, since) is not None
+    confirmation.poll_sent(1, since, 1500.0, is_long_poll=True)
     return confirmation
 
 
 def test_a_start_waits_for_an_answer_to_a_poll_of_its_own_to_a_bound() -> None:
-    confirmation = Confirmation(TERMS, 100.0)
-    assert confirmation.wait(100.0) == TERMS.start_wait and confirmation.wait(2100.0) == 0.0
+    confirmation = ConfirmationTracker(TERMS, 100.0)
+    assert (
+        confirmation.remaining_wait(100.0) == TERMS.start_wait and confirmation.remaining_wait(2100.0) == 0.0
+    )
     assert confirmation.unconfirmed_for(2100.0) == 2000.0
-    confirmation.asked(1, 2100.0, 1.0, is_watch=False)
-    confirmed = confirmation.answered(1, 2105.0)
-    assert confirmed is not None and (confirmed.cause, confirmed.lasted) == (Cause.START, 2005.0)
+    confirmation.poll_sent(1, 2100.0, 1.0, is_long_poll=False)
+    confirmed = confirmation.poll_answered(1, 2105.0)
+    assert confirmed is not None and (confirmed.cause, confirmed.duration) == (UnconfirmedCause.START, 2005.0)
     assert confirmation.unconfirmed_for(2105.0) is None
 
 
 def test_refused_connections_end_the_wait_of_a_front_that_serves_but_not_of_one_that_starts() -> None:
-    serving, starting = watched(), Confirmation(TERMS, 0.0)
-    serving.ended(1, 0.0)
-    late = TERMS.longest_gap + 1.0
-    for _ in range(TERMS.refusals - 1):
-        serving.refused(late)
-        starting.refused(late)
-    assert serving.wait(late) > 0.0
-    serving.refused(late)
-    starting.refused(late)
-    assert serving.wait(late) == 0.0 and starting.wait(late) == TERMS.start_wait - late
+    serving, starting = watched(), ConfirmationTracker(TERMS, 0.0)
+    serving.poll_ended(1, 0.0)
+    late = TERMS.max_gap + 1.0
+    for _ in range(TERMS.max_refusals - 1):
+        serving.connection_refused(late)
+        starting.connection_refused(late)
+    assert serving.remaining_wait(late) > 0.0
+    serving.connection_refused(late)
+    starting.connection_refused(late)
+    assert serving.remaining_wait(late) == 0.0 and starting.remaining_wait(late) == TERMS.start_wait - late
 
 
 def test_what_is_known_is_unconfirmed_where_no_poll_is_outstanding_for_a_while() -> None:
     confirmation = watched()
     assert confirmation.unconfirmed_for(5000.0) is None  # it is outstanding, however late
-    confirmation.ended(1, 5000.0)
-    assert confirmation.unconfirmed_for(5000.0 + TERMS.longest_gap) is None
-    assert confirmation.wait(5001.0 + TERMS.longest_gap) == TERMS.gap_wait - 1.0
-    confirmation.asked(2, 5300.0, 1.0, is_watch=False)
-    confirmed = confirmation.answered(2, 5310.0)
-    assert confirmed is not None and confirmed.cause is Cause.NOT_ASKED
+    confirmation.poll_ended(1, 5000.0)
+    assert confirmation.unconfirmed_for(5000.0 + TERMS.max_gap) is None
+    assert confirmation.remaining_wait(5001.0 + TERMS.max_gap) == TERMS.gap_wait - 1.0
+    confirmation.poll_sent(2, 5300.0, 1.0, is_long_poll=False)
+    confirmed = confirmation.poll_answered(2, 5310.0)
+    assert confirmed is not None and confirmed.cause is UnconfirmedCause.NOT_POLLED
 
 
 def test_a_stand_still_within_a_poll_leaves_what_is_known_confirmed_and_one_past_it_does_not() -> None:
     within, past, short = watched(), watched(), watched()
-    within.stood_still(1400.0, 1300.0)
-    past.stood_still(2400.0, 2300.0)
-    short.stood_still(2400.0, TERMS.longest_gap)
-    assert (within.wait(1400.0), past.wait(2400.0), short.wait(2400.0)) == (0.0, TERMS.gap_wait, 0.0)
-    assert past.answered(1, 2401.0) is None  # asked before: it tells nothing of what came after its time
-    past.asked(1, 2401.0, 1.0, is_watch=True)
-    assert past.answered(1, 2402.0) is not None
+    within.process_paused(1400.0, 1300.0)
+    past.process_paused(2400.0, 2300.0)
+    short.process_paused(2400.0, TERMS.max_gap)
+    assert (within.remaining_wait(1400.0), past.remaining_wait(2400.0), short.remaining_wait(2400.0)) == (
+        0.0,
+        TERMS.gap_wait,
+        0.0,
+    )
+    assert past.poll_answered(1, 2401.0) is None  # asked before: it tells nothing of what came after its time
+    past.poll_sent(1, 2401.0, 1.0, is_long_poll=True)
+    assert past.poll_answered(1, 2402.0) is not None
 
 
 def test_after_a_move_polls_at_the_old_address_confirm_nothing() -> None:
     confirmation = watched()
-    confirmation.moved(1000.0)
-    late = 1001.0 + TERMS.longest_gap
+    confirmation.address_changed(1000.0)
+    late = 1001.0 + TERMS.max_gap
     assert confirmation.unconfirmed_for(late) is not None
-    assert confirmation.answered(1, late) is None and confirmation.unconfirmed_for(late) is not None
+    assert confirmation.poll_answered(1, late) is None and confirmation.unconfirmed_for(late) is not None
 
 
 async def test_a_request_that_waits_for_discovery_is_shed_while_another_front_can_still_serve_it(
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from cometseam.interface import HungUp, Pull, Rang, Shed, Wake
-from cometseam.wire import Malformed
+from cometseam.interface import ClientDisconnected, Pull, Shed, StartTimer, TimerFired
+from cometseam.wire import WireFormatError
 from cometseam.wire.frames import read_frame, read_records, write_action, write_reply
 from cometseam.wirehost import serve
 
@@ -22,10 +22,10 @@
     assert frame is not None and frame[0] == 8412.25
     assert list(read_records(frame[1])) == [
         (3, Pull(0xB1E005D3A91C4, 0x91F03B7C55D20A64, 3, 0, 240.0, False, 640.0, 11)),
-        (3, Rang(0x4D)),
-        (5, HungUp(0xB29EB0E6F2B19)),
+        (3, TimerFired(0x4D)),
+        (5, ClientDisconnected(0xB29EB0E6F2B19)),
     ]
-    records = [(3, write_action(Wake(0x4D, 500.0))), (5, write_action(Shed(0xB29EB0E6F2B19, 250.0)))]
+    records = [(3, write_action(StartTimer(0x4D, 500.0))), (5, write_action(Shed(0xB29EB0E6F2B19, 250.0)))]
     assert write_reply(records).hex() == (
         "3800000004000000" + "19020000000300" + "14100000004d000000000000000000000000407f40"
         "19020000000500" + "1a10000000192b6f0eeb290b000000000000406f40"
@@ -49,6 +49,6 @@
 )  # fmt: skip
 def test_malformed_input_gets_no_reply(raw: bytes) -> None:
     sink = io.BytesIO()
-    with pytest.raises(Malformed):
+    with pytest.raises(WireFormatError):
         serve(io.BytesIO(raw), sink)
     assert sink.getvalue() == b""
