--- a/cometseam/interface.py
+++ b/cometseam/interface.py
@@ -1,8 +1,9 @@
-"""What the decision module is told and what it asks for: settings, events, actions and outcomes.
+"""The interface of the decision module: settings, events, actions and outcomes; no decisions are made here.
 
-Times are milliseconds with fractions. Ids of pulls, caches and objects are whole numbers chosen by
-the other side. Nothing in this file decides anything. What is made for every pull is not frozen, as that
-makes it several times as dear; nobody changes it.
+A pull is a client's request; a relay is one attempt to have a cache answer it. Times are in ms, as floats.
+Ids of pulls, caches and objects are integers chosen by the caller. The classes that are created for every
+pull or relay are not frozen, because freezing makes creation several times as expensive; nothing modifies
+them.
 """
 
 from dataclasses import dataclass, field
@@ -25,7 +26,7 @@
 
 
 class Remark(IntEnum):
-    """What an answer tells of how it came about; NONE where nothing is told."""
+    """How an answer came about; NONE where the answer does not say."""
 
     NONE = 0
     HIT = 1
@@ -41,7 +42,11 @@
 
 
 class Idempotency(StrEnum):
-    """Whether a pull of a workload may run again."""
+    """Whether a pull of a workload may run more than once.
+
+    REPEATABLE: idempotent. TAGGED: it carries an idempotency key, by which repeats are dropped. ONCE_ONLY:
+    not idempotent.
+    """
 
     REPEATABLE = "repeatable"
     TAGGED = "tagged"
@@ -49,7 +54,7 @@
 
 
 class DedupScope(StrEnum):
-    """The caches that drop each other's repeats of a tagged pull."""
+    """The caches that drop each other's repeats of a pull with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -57,7 +62,7 @@
 
 
 class ListUpdateKind(IntEnum):
-    """What a `CacheListUpdate` event holds."""
+    """What a `CacheListUpdate` contains."""
 
     CHANGES = 0
     CACHED = 1
@@ -66,7 +71,7 @@
 
 
 class Lifecycle(IntEnum):
-    """Where a listed cache stands."""
+    """The state of a cache on the list."""
 
     GONE = 0
     READY = 1
@@ -75,7 +80,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """One kind of pull."""
+    """The terms of one class of pulls; durations in ms.
+
+    `target_latency` plus `target_latency_factor` times the sending time is the target latency of a pull;
+    `deadline` is when it must have ended. `gain` is the value of an answer, `stale_gain` its factor for a
+    stale one. Repeats are dropped within `dedup_scope` for `dedup_window`. A copy is fresh for `fresh_ttl`
+    and usable as a stale one for `stale_ttl` after that.
+    """
 
     target_latency: float
     target_latency_factor: float
@@ -92,7 +103,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a front is handed at start; only what the decisions read."""
+    """The settings of a front that the decisions use; durations in ms.
+
+    `hub_of` and `fronts_by_zone` give each zone's hub and number of fronts; `fronts` counts all fronts.
+    `link_load_index` is the index of the zone's link in reported loads. `relay_limit` bounds the relays of
+    a pull. `stream_rate` is in KB per ms; 0: unknown. A server in slow start can take its initial share of
+    its weight, which rises to all of it in the slow-start duration, times the overload factor within
+    `overload_window`; the fields with `parent_` are for parents. A purge may take up to `purge_propagation`
+    to reach all servers.
+    """
 
     workloads: tuple[Workload, ...]
     zone: int
@@ -121,7 +140,7 @@
 
 
 class RelayKind(IntEnum):
-    """What a relay is for: it looks at what a cache holds, has it fill, or passes by what is kept."""
+    """The purpose of a relay: a cache lookup, a fill, or a write, which bypasses what is kept."""
 
     LOOK = 0
     FILL = 1
@@ -129,7 +148,7 @@
 
 
 class ScaledDuration(NamedTuple):
-    """A time that goes with the size of a pull: `base` ms, and `part` times the pull's own sending time."""
+    """A duration that depends on a pull's size: `base` ms plus `part` times its sending time."""
 
     base: float
     part: float
@@ -137,62 +156,63 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetTerms:
-    """How many further relays may go: a share of first ones over a sliding window, and a floor."""
+    """A budget of further relays: a share of first relays over a sliding window, with a floor."""
 
     name: str
-    share: float  # further relays for each first one
+    share: float  # further relays per first relay
     window: float  # ms
-    floor: float  # further relays in a window whatever the share comes to
-    fleet: float = 0.0  # and at most so many in a window from all fronts together; 0: any
+    floor: float  # further relays per window, however low the share is
+    fleet: float = 0.0  # at most this many per window from all fronts together; 0: no bound
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What the operator sets for the pulls of a route; what is None the module decides as without a plan."""
+    """The operator's terms for the pulls of a route; a field that is None leaves the built-in behaviour."""
 
     name: str = ""
-    # By `RelayKind`: for the first relay of a pull, and for further ones after a failure.
+    # By `RelayKind`: the time-out of a pull's first relay, and of further relays after a failure.
     time_outs: tuple[tuple[ScaledDuration | None, ScaledDuration | None], ...] = ((None, None),) * 3
-    relays: int | None = None  # that may fail; looks that are answered with a miss are not among them
+    relays: int | None = None  # attempts that may fail; a lookup answered with a miss is not one
     wait: float = 0.0  # ms before the first further relay
     growth: float = 1.0
     longest_wait: float = 0.0
-    jitter: float = 0.0  # part of a wait that is added at most
-    # When a relay out is given up for another elsewhere, where one may go.
+    jitter: float = 0.0  # share of a wait that is added at most
+    # After this time a relay in flight is recalled and the pull sent elsewhere, if possible (hedging).
     second: ScaledDuration | None = None
-    worth: frozenset[Outcome] | None = None  # the outcomes after which a further relay goes
-    come_back_in: float | None = None  # ms told with a shed pull
+    worth: frozenset[Outcome] | None = None  # the outcomes after which a further relay is sent
+    come_back_in: float | None = None  # ms; the retry-after of a shed pull
     allowance: RetryBudgetTerms | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Plans:
-    """The operator's plans from now on; pulls that are open keep theirs. A pull names its plan by place."""
+    """The operator's plans from now on; pending pulls keep theirs. A pull names its plan by index."""
 
     plans: tuple[Plan, ...]
-    # Of the networks of clients that a pull may name.
+    # By the index of the client network that a pull names.
     network_budgets: tuple[RetryBudgetTerms | None, ...] = ()
     front_budget: RetryBudgetTerms | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """The level of reduced service has changed: what is left out from now on; by default nothing."""
+    """The level of reduced service has changed: what is skipped from now on; the defaults skip nothing."""
 
     level: int = 0
-    shed_shares: tuple[float, ...] = ()  # of pulls that are shed, by workload; empty: none of any
-    plan_shed_shares: dict[int, float] = field(default_factory=dict)  # the same by plan
-    prefer_stale: bool = False  # an ageing copy is taken before a fill is begun
-    fill_first_seen: bool = True  # a first-seen object may be filled
-    allow_further_relays: bool = True  # further relays may go
-    fill_limit_share: float = 1.0  # share of the limit on fills out
-    min_retry_after: float | None = None  # ms told with a shed pull, at least
-    reading_window: float = 0.0  # ms for which an object whose parts are being read is spared
+    shed_shares: tuple[float, ...] = ()  # share of pulls shed, by workload; empty: none
+    plan_shed_shares: dict[int, float] = field(default_factory=dict)  # the same by plan index
+    prefer_stale: bool = False  # a stale copy is used before a fill is started
+    fill_first_seen: bool = True  # an object requested for the first time may be filled
+    allow_further_relays: bool = True  # further relays may be sent
+    fill_limit_share: float = 1.0  # share of the limit on fills in flight
+    min_retry_after: float | None = None  # ms; the lowest retry-after of a shed pull
+    # Further parts of an object are not shed for this long (ms) after a part of it was let through.
+    reading_window: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEntry:
-    """One line of the list of caches; parents and the origin are lines of it too."""
+    """One entry of the list of caches, which includes parents and the origin."""
 
     cache: int
     lifecycle: Lifecycle
@@ -205,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheListUpdate:
-    """The list of caches, or what has changed in it."""
+    """The whole list of caches, or changes to it."""
 
     kind: ListUpdateKind
     entries: tuple[CacheEntry, ...]
@@ -213,7 +233,7 @@
 
 @dataclass(slots=True)
 class Pull:
-    """A client wants one part of an object; the front now owes one final answer."""
+    """A client requests one part of an object; the front must give one final answer."""
 
     id: int
     object: int
@@ -223,14 +243,15 @@
     is_write: bool
     size_kb: float
     group: int
-    plan_index: int = -1  # by place in the last `Plans`; -1: none
+    # index in the last `Plans`; -1: none
+    plan_index: int = -1
     network_index: int = -1
-    client_network: int = 0  # the network that the client is one of, for fairness under a level
+    client_network: int = 0  # the client's network, for fairness while shedding
 
 
 @dataclass(frozen=True, slots=True)
 class RelayBegan:
-    """A relay's answer has begun to stream; the relay now belongs to the client."""
+    """A relay's answer has begun to stream to the client."""
 
     id: int
 
@@ -252,26 +273,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; no answer is owed any more."""
+    """The client has disconnected; no answer is needed any more."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShuttingDown:
-    """The front ends: what is still owed is answered now."""
+    """The front shuts down: unanswered pulls get their final answer now."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer has come due."""
+    """A timer has fired."""
 
     timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A probe has ended."""
+    """A load probe has ended."""
 
     cache: int
     outcome: Outcome
@@ -280,7 +301,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Purged:
-    """An object, or with object 0 a whole group, was purged `age` ago."""
+    """An object, or with object 0 a whole group, was purged `age` ms ago."""
 
     object: int
     group: int
@@ -289,17 +310,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopLagged:
-    """The front itself comes so much later to what is due, in ms: its core is busy or shared."""
+    """The front's event loop runs `lag` ms late: its core is busy or shared."""
 
     lag: float
 
 
 @dataclass(frozen=True, slots=True)
 class HealthVerdict:
-    """The fleet's prober's verdict on a cache: `bad` for `ttl` ms from now, evidence begun `evidence_age` ms
-    ago.
+    """The fleet's verdict on a cache.
 
-    Or the verdict has been taken back or has ended: `bad` is False.
+    `bad`: it is ejected for `ttl` ms, on evidence that began `evidence_age` ms ago. Not `bad`: the verdict
+    was withdrawn or has expired.
     """
 
     cache: int
@@ -310,10 +331,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityLease:
-    """This front's part (0 to 1) of what a cold cache bears from all fronts, for `ttl` ms from now.
+    """This front's share (0 to 1) of what a cache in slow start can take from all fronts, for `ttl` ms.
 
-    Or, with `for_relays`, of how many relays they may have out there (`ConcurrencyCap`). Past that it goes by
-    the lesser of this and an equal part, until it is told anew.
+    With `for_relays`: its share of the relays that they may have in flight there (`ConcurrencyCap`). After
+    `ttl` the front uses the lesser of this and an equal share until the next lease.
     """
 
     cache: int
@@ -324,7 +345,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConcurrencyCap:
-    """How many relays all fronts that send there may have out at one cache, and at one parent; 0: any."""
+    """How many relays all fronts together may have in flight at a cache, and at a parent; 0: no cap."""
 
     per_cache: float
     per_parent: float
@@ -332,9 +353,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetShare:
-    """This front's part (0 to 1) of the further relays that a budget allows the fleet, for `ttl` ms.
+    """This front's share (0 to 1) of the further relays that a budget allows the fleet, for `ttl` ms.
 
-    Past that it goes by the lesser of this and an equal part, until it is told anew.
+    After `ttl` the front uses the lesser of this and an equal share until the next one.
     """
 
     budget_name: str
@@ -342,14 +363,14 @@
     ttl: float
 
 
-FleetEvent = HealthVerdict | CapacityLease | ConcurrencyCap | RetryBudgetShare  # what the fleet tells
+FleetEvent = HealthVerdict | CapacityLease | ConcurrencyCap | RetryBudgetShare  # decided by the fleet
 ControlEvent = CacheListUpdate | ProbeEnded | Purged | LoopLagged | Plans | ServiceLevel | ShuttingDown
 Event = Pull | RelayBegan | RelayEnded | ClientDisconnected | TimerFired | ControlEvent | FleetEvent
 
 
 @dataclass(slots=True)
 class Relay:
-    """Ask `cache` for the copy; where it lacks one it fills from `source` (itself: it does not fill)."""
+    """Ask `cache` for the copy; without one it fills from `source` (`cache` itself: it does not fill)."""
 
     id: int
     cache: int
@@ -361,12 +382,12 @@
     renew: bool
     timeout: float
     max_age: float
-    write_within: float = 0.0  # ms from now past which no byte of it may be written first; 0: any time
+    write_within: float = 0.0  # ms from now within which its first byte must be written; 0: no bound
 
 
 @dataclass(slots=True)
 class Shed:
-    """Final answer: not done, and trying again is harmless."""
+    """Final answer: not done, and a retry is harmless."""
 
     id: int
     retry_after: float
@@ -374,14 +395,14 @@
 
 @dataclass(slots=True)
 class Error:
-    """Final answer: not done, and nothing is promised about what ran."""
+    """Final answer: not done, and it may or may not have run."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """Stop waiting for a relay; with `if_unsent` only if it is not written yet, which needs no leave."""
+    """Stop waiting for a relay; with `if_unsent` only if it is not written yet, which needs no permission."""
 
     id: int
     relay: int
@@ -390,7 +411,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Ask for a `TimerFired` with this mark."""
+    """Request a `TimerFired` with this id after `delay` ms."""
 
     timer_id: int
     delay: float
@@ -398,14 +419,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a cache for its load."""
+    """Request a cache's load."""
 
     cache: int
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Ask for changes of the list from now on."""
+    """Subscribe to changes of the cache list."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/cometseam/logic.py
+++ b/cometseam/logic.py
@@ -1,7 +1,8 @@
-"""Every decision of the router: which cache a pull goes to, what fills it, what is kept, when to stop.
+"""Every decision of the router: the cache for a pull, the source of a fill, what is kept and when to stop.
 
-A caller makes one `Front` a front, with its seed and the settings, passes events with the time to `handle`,
-and carries out, in order, what actions come back (`cometseam.interface`). Nothing is shared between fronts.
+A pull is a client's request; a relay is one attempt to have a cache answer it. The caller creates one `Front`
+per front with its seed and settings, passes each event with the current time to `handle`, and carries out the
+returned actions in order (see `cometseam.interface`). Fronts share no state. All times are in ms.
 """
 
 from bisect import bisect_right
@@ -47,54 +48,83 @@
 from cometseam.levels import LoadShedder
 from cometseam.timing import ActivePlans, CapacityShare, may_retry, retry_wait, timeout_and_hedge_delay
 
-MAX_REMOVED = 256  # caches that left the list and are remembered
-MAX_HISTORIES = 6000  # objects' parts whose requests are remembered, and gaps for each of them
+# Servers that left the list and are remembered; see `Front.removed`.
+MAX_REMOVED = 256
+# Parts of objects whose request times are remembered, and gaps between requests kept for each of them.
+MAX_HISTORIES = 6000
 MAX_REQUEST_GAPS = 6
-MIN_REQUEST_GAP_MS = (
-    250.0  # ms; closer requests count as this far apart: a client's retries are no popularity
-)
-MAX_RECENT_VALUES = 600  # recent values that are cut in thirds, and values between two cuts
+# Shorter gaps count as this long: retries of one client do not make a part popular.
+MIN_REQUEST_GAP_MS = 250.0
+# The values of recent pulls are cut into thirds, one for each rank; pulls between two cuts.
+MAX_RECENT_VALUES = 600
 VALUES_BETWEEN_CUTS = 50
-INITIAL_RETRY_TOKENS = 1.0  # at the start, for each good answer, at most
+# A further relay costs a retry token of the server asked. Tokens: at its start (and at most after a failure),
+# gained for each answer, and at most.
+INITIAL_RETRY_TOKENS = 1.0
 RETRY_TOKENS_PER_ANSWER = 0.2
 MAX_RETRY_TOKENS = 10.0
-MIN_LIMIT = 2.0  # relays out at a cache: at least, and at first with sizes untold
+# Relays in flight at a server: the lowest limit, and the first one where the list gives no weights.
+MIN_LIMIT = 2.0
 INITIAL_LIMIT_WITHOUT_WEIGHTS = 8.0
-LIMIT_CUT_FACTOR = 0.8  # left of a limit that is cut, ms between two; left of lateness
+# What a cut leaves of a limit, and the shortest time between two cuts.
+LIMIT_CUT_FACTOR = 0.8
 MIN_CUT_INTERVAL_MS = 500.0
+# What each report of event loop lag leaves of the lag before it, at least.
 LAG_DECAY_FACTOR = 0.9
-ERROR_RATE_GAIN = 0.1  # weight of one answer in a cache's share of errors, and from where that is illness
+# Weight of one answer in a server's error rate and lookup loss rate.
+ERROR_RATE_GAIN = 0.1
+# A server whose error rate is above this is ejected if another one's is below it.
 ERROR_RATE_THRESHOLD = 0.3
-SLOW_START_BUDGET_SHARE = 0.75  # share of a cold cache's budget that is used: sizes and weights are not exact
-SPILL_SHARE = 0.55  # share of the quoted time: past it a pull spills on
-ADMISSION_SHARE = 0.65  # share of the quoted time: within it a pull is begun
-SLOWDOWN_DECAY_MS = 3000.0  # ms, by the root of a zone's fronts, in which what was seen wears off to a third
-MANY_FRONTS_MARGIN = 0.6  # margin on a crowd, of what it adds, that very many fronts make needed
-IDLE_SHARE = 0.5  # share of a limit up to which a pull may go on past its quoted time
-SPARE_EVICTION_RATE = 0.1  # share of the kept copies found gone up to which a cache has room to spare
-ORIGIN_STRAIN_FACTOR = 3.0  # times the usual wait for the origin that show that it is asked for too much
-TRANSFER_ALLOWANCE_MS = (
-    100.0  # ms past the time expected of a transfer before its link is held to be fuller than thought
-)
-FIRST_BACK_OFF_MS = 400.0  # ms that a struck cache is left alone, at first and at most
+# Share of a server's slow-start budget that is used: sizes and weights are not exact.
+SLOW_START_BUDGET_SHARE = 0.75
+# Share of the time to the target latency: a cache expected to take longer is passed over for the next one.
+SPILL_SHARE = 0.55
+# Share of the time to the target latency: a relay is sent only where it is expected to end within it.
+ADMISSION_SHARE = 0.65
+# Time in which an observed slowdown decays to 1/e, for one front; it grows with the square root of the number
+# of fronts that share a zone.
+SLOWDOWN_DECAY_MS = 3000.0
+# Safety margin, as a share of the slowdown above 1, that is added where very many fronts share a zone.
+MANY_FRONTS_MARGIN = 0.6
+# Share of a limit up to which a server counts as idle: a pull may miss its target latency there.
+IDLE_SHARE = 0.5
+# Share of kept copies found gone up to which a cache has spare room.
+SPARE_EVICTION_RATE = 0.1
+# Multiple of the usual wait for the origin from which the origin is asked for too much.
+ORIGIN_STRAIN_FACTOR = 3.0
+# A transfer may exceed its expected time by this before its link counts as slower than expected.
+TRANSFER_ALLOWANCE_MS = 100.0
+# How long a server that failed is ejected: at first, and at most.
+FIRST_BACK_OFF_MS = 400.0
 MAX_BACK_OFF_MS = 6400.0
-INITIAL_FILL_SHARE = 0.5  # fills out at first, as a part of the relays that the zone's caches may have out
-FILL_ALLOWANCE_MS = 600.0  # ms past PATIENCE times its own time when a fill, a look times out
+# Initial limit of fills in flight, as a share of the relays that the zone's caches may have in flight.
+INITIAL_FILL_SHARE = 0.5
+# A relay times out after TIMEOUT_FACTOR times its expected transfer time plus the fill or lookup allowance.
+FILL_ALLOWANCE_MS = 600.0
 LOOKUP_ALLOWANCE_MS = 200.0
 TIMEOUT_FACTOR = 4.0
-FAIR_SHARE_RATIO = 0.8  # part of a workload's answered share below which its large may be late; one's weight
+# Large pulls may be late where their answered share is below this part of their workload's.
+FAIR_SHARE_RATIO = 0.8
+# Weight of one pull in an answered share.
 ANSWERED_SHARE_GAIN = 0.05
-LOSS_RATE_THRESHOLD = 0.12  # share of lost answers from where that is HASTE times the pace that answers have
+# A cache that leaves a larger share of lookups unanswered than this is waited for NORMAL_PACE_FACTOR times
+# the expected transfer time, not TIMEOUT_FACTOR times.
+LOSS_RATE_THRESHOLD = 0.12
+# A server that is slower than expected by no more than this factor keeps its normal pace.
 NORMAL_PACE_FACTOR = 1.5
+# Outcomes that prove that the relay did not run at the server.
 NEVER_RAN = (Outcome.MISS, Outcome.NOT_SENT, Outcome.CONNECT_FAILED, Outcome.FULL)
+# Remarks that attribute a failed fill to its source, not to the cache that was asked.
 SOURCE_AT_FAULT = (Remark.SOURCE_REFUSED, Remark.SOURCE_BROKE)
 UINT64_MAX = (1 << 64) - 1
-TIMER_SUFFIX_BITS = 16  # a timer's mark: the pull's id, and its relays when it was set or that it rests
+# A timer id is the pull's id, shifted by these bits, and a suffix: the number of relays sent when a hedge
+# timer was set, or RETRY_WAIT_SUFFIX for the wait before a further relay.
+TIMER_SUFFIX_BITS = 16
 RETRY_WAIT_SUFFIX = 0xFFFF
 
 
 def hash_pair(object_key: int, cache: int) -> int:
-    """Hash an object with a cache; all fronts agree on it."""
+    """Hash an object's part with a cache to 64 bits; all fronts compute the same value."""
     mixed = (object_key * 0x9E3779B97F4A7C15 + cache * 0xC2B2AE3D27D4EB4F + 0x165667B19E3779F9) & UINT64_MAX
     mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & UINT64_MAX
     mixed = (mixed ^ mixed >> 27) * 0x94D049BB133111EB & UINT64_MAX
@@ -102,16 +132,25 @@
 
 
 class ConcurrencyLimit:
-    """How many may be out at once; it grows by one where a round went well and is cut by a share."""
+    """An adaptive limit on relays in flight, with the slowdown factor observed behind it.
+
+    The limit grows by about one per round of successful relays that use it fully, up to four times its
+    initial size, and is cut to a share of itself on failure (additive increase, multiplicative decrease).
+    """
 
     def __init__(self, size: float, decay: float) -> None:
         self.size, self.slowdown_decay = max(size, MIN_LIMIT), decay
         self.max_size, self.in_flight, self.cut_at = 4.0 * self.size, 0, 0.0
-        # Times its own time that a transfer took of late, and when.
+        # The latest estimate of the slowdown factor (time taken by a transfer over its sending time), and
+        # when it was made.
         self.last_slowdown, self.last_slowdown_at = 1.0, 0.0
 
     def adjust(self, succeeded: bool, now: float, proven: bool = False) -> None:
-        """Cut it by what is out where that is proven too much; cuts close together have one cause."""
+        """Raise the limit after a success that used it fully, or cut it after a failure.
+
+        `proven`: the server was overloaded by what was in flight, so the cut starts from that. Failures
+        within MIN_CUT_INTERVAL_MS of a cut have the same cause and do not cut again.
+        """
         if succeeded and self.in_flight + 2 > self.size:
             self.size = min(self.size + 1.0 / self.size, self.max_size)
         if not succeeded and now - self.cut_at >= MIN_CUT_INTERVAL_MS:
@@ -121,15 +160,15 @@
             )
 
     def slowdown(self, now: float) -> float:
-        """Tell how many times its own time a transfer is expected to take; what was seen wears off."""
+        """Return the slowdown factor expected of a transfer; earlier observations decay towards 1."""
         return 1.0 + (self.last_slowdown - 1.0) * exp((self.last_slowdown_at - now) / self.slowdown_decay)
 
     def expected_slowdown(self, now: float) -> float:
-        """Tell how many times its own time one more would take."""
+        """Return the slowdown factor expected of one more transfer, given what is in flight."""
         return max((self.in_flight + 1) / self.size, self.slowdown(now))
 
     def record_slowdown(self, observed: float, now: float, confidence: float = 1.0) -> None:
-        """Take in how many times its own time a transfer took, and how sure that is."""
+        """Move the estimate half way to an observed slowdown factor, or less with a `confidence` below 1."""
         current = self.slowdown(now)
         self.last_slowdown, self.last_slowdown_at = (
             current + 0.5 * confidence * (max(observed, 1.0) - current),
@@ -138,124 +177,135 @@
 
 
 class Server:
-    """One start of a cache, a parent or the origin, as this front knows it."""
+    """A cache, a parent or the origin since its last start, as this front knows it."""
 
     def __init__(self, entry: CacheEntry, weight: float, limit: ConcurrencyLimit, equal_share: float) -> None:
         self.entry, self.weight, self.started_at = entry, weight, entry.ready_at
         self.limit, self.retry_tokens, self.consecutive_failures = limit, INITIAL_RETRY_TOKENS, 0
         self.answered_at = self.ejected_until = 0.0
-        # Share of what it kept that looks find gone, and of errors, lately.
+        # Recent shares: of kept copies that a lookup found gone, and of answers that were errors.
         self.eviction_rate = self.error_rate = 0.0
-        # Share of looks not answered while it was well, and its pace, lately.
+        # Recent share of lookups that got no answer while it answered others, and its recent slowdown factor.
         self.lookup_loss_rate, self.slowdown = 0.0, 1.0
-        self.slowdown_at = float("-inf")  # when a fill through it last told that
-        # Of what it bears cold; of relays out there.
+        self.slowdown_at = float("-inf")  # when a fill from it last updated `slowdown`
+        # This front's shares of its slow-start budget and of the cap on relays in flight there.
         self.slow_start_share, self.relay_share = CapacityShare(equal_share), CapacityShare(equal_share)
-        self.sent_work: deque[list[float]] = deque()  # [time, work] sent; what is older than a window leaves
+        # [time sent, work in ms of sending time]; entries older than the overload window are removed.
+        self.sent_work: deque[list[float]] = deque()
 
 
 class RequestHistory:
-    """When one part of an object was asked for lately."""
+    """When one part of an object was requested recently."""
 
     __slots__ = ("cached_at", "last_request_at", "request_gaps", "workload")
 
     def __init__(self, now: float, workload: int) -> None:
         self.last_request_at, self.workload = now, workload
-        self.cached_at: tuple[Server, float] | None = None  # by which cache, and fresh until when
+        # The cache that was last given a copy, and until when that copy is fresh.
+        self.cached_at: tuple[Server, float] | None = None
         self.request_gaps: tuple[float, ...] = ()
 
 
 class PendingPull:
-    """A pull that is owed its final answer, or whose relay is still out."""
+    """A pull that has no final answer yet or whose relay is still in flight."""
 
     def __init__(
         self, pull: Pull, workload: Workload, now: float, stream_rate: float, plans: ActivePlans
     ) -> None:
         self.pull, self.workload = pull, workload
-        # The operator's; kept when new ones come.
+        # The operator's plan and budgets, kept when new plans are loaded.
         self.plan, self.retry_budgets = plans.plan_and_budgets(pull.plan_index, pull.network_index)
-        self.awaiting_retry: RelayEnded | None = None  # what it goes on with after a wait
-        self.is_write = workload.is_write or pull.is_write  # it can't be cached
-        # A copy is one of a part.
+        self.awaiting_retry: RelayEnded | None = None  # the failure after which it is waiting to retry
+        self.is_write = workload.is_write or pull.is_write  # a write cannot be cached
+        # Copies are kept by part of an object, so the key holds both.
         self.part_key, self.deadline = pull.object << 16 | pull.part, now + pull.time_left
         self.sending_time = pull.size_kb / stream_rate if stream_rate else 0.0
         self.target_at = now + min(
             workload.target_latency + workload.target_latency_factor * self.sending_time, pull.time_left
         )
-        self.relay_count = self.failures = self.errors = self.rank = (
-            0  # the rank at which the relay out is kept
-        )
+        # `rank`: at which the copy of the relay in flight is kept.
+        self.relay_count = self.failures = self.errors = self.rank = 0
         self.in_flight, self.unanswered = False, True
-        self.hash_order: list[Server] = []  # its caches, in hash order
-        self.rejected_by: list[Server] = []  # turned it away, or its fill
-        self.missed_by: Server | None = None  # the cache that answered a look with a miss
-        self.known_misses: list[tuple[Server, bool]] = []  # who holds no copy; True: not even an ageing one
-        # Whether the relay out may fill, whether a fill was under way, and whether the origin failed it.
+        self.hash_order: list[Server] = []  # the zone's caches in the hash order of its part
+        self.rejected_by: list[Server] = []  # caches that rejected it or its fill, erred or were hedged
+        self.missed_by: Server | None = None  # the cache that answered a lookup with a miss
+        # Servers that hold no copy; with True, not even a stale one.
+        self.known_misses: list[tuple[Server, bool]] = []
+        # Whether the relay in flight may fill; whether it would join a fill already under way; whether the
+        # origin failed the fill; and whether a cache rejected a fill without saying who was at fault.
         self.is_fill = self.joins_fill = self.origin_rejected = self.fill_rejected = False
         self.history: RequestHistory | None = None
         self.candidate: Candidate
         self.sent_at = self.slowdown_at_send = 0.0
         self.source_work: list[float] = [0.0, 0.0]
-        self.may_have_run: tuple[float, CacheEntry, int] | None = (
-            None  # when, where, by which relay it may have run
-        )
+        # Since when, where and by which relay it may have run; None: it has not run.
+        self.may_have_run: tuple[float, CacheEntry, int] | None = None
         self.sequence: CandidateSequence
 
 
 class Candidate(NamedTuple):
-    """Where a pull may go next: the cache to ask, the source of a fill (itself: a look) and on what terms."""
+    """A candidate route: the cache to ask, the source of a fill (or the cache itself: a lookup), terms."""
 
     target: Server
     source: Server
-    only_cached: bool = False  # the source fetches nothing for it
-    allow_stale: bool = False  # an ageing copy will do
+    only_cached: bool = False  # the source answers only from its own copy
+    allow_stale: bool = False  # a stale copy is accepted
 
 
 CandidateSequence = Generator[tuple[Candidate, int], RelayEnded | None, None]
 
 
 class Front:
-    """One front: what it was told, what it saw, and the pulls it holds."""
+    """One front: its view of the servers, its estimates and its pending pulls."""
 
     def __init__(self, seed: int, settings: Settings) -> None:
         self.settings = settings
         by_zone, own_zone = settings.fronts_by_zone, settings.zone
-        # Fronts here.
+        # Fronts that send to the caches of this zone.
         self.sharing_fronts = max(by_zone[own_zone] if 0 <= own_zone < len(by_zone) else settings.fronts, 1)
         self.slowdown_decay: float = SLOWDOWN_DECAY_MS * self.sharing_fronts**0.5
         self.random = Random(seed)
-        self.now = self.lag = 0.0  # lag: how much this front was of late, what is old counting less
-        # Through the zone's link; from the origin; set by a list.
+        # `lag`: recent delay of this front's event loop (ms); earlier delays decay.
+        self.now = self.lag = 0.0
+        # Limits on fills through the zone's link and on fetches from the origin; set by the first list.
         self.fill_limit = self.origin_limit = ConcurrencyLimit(0.0, 0.0)
         self.actions: list[Action] = []
-        # A pull leaves when it is answered and none of its relays is out.
+        # A pull is removed once it is answered and no relay of it is in flight.
         self.pending: dict[int, PendingPull] = {}
-        self.servers: dict[int, Server] = {}  # as the list has them; what is gone or draining leaves
-        # Left the list while the fleet shares out what they bear; past MAX_REMOVED the longest gone leaves, and
-        # so does one that comes back. Guards the fleet's bound: the rest of their part was lent, by their name.
+        self.servers: dict[int, Server] = {}  # those that the list has as ready
+        # Servers that left the list while the fleet shares out their capacity. An entry is removed when its
+        # server comes back; past MAX_REMOVED the one that left first is dropped. This guards the fleet's
+        # bound: the rest of such a server's capacity is leased to other fronts under its name, so this
+        # front's share must survive its absence.
         self.removed: dict[int, Server] = {}
-        self.edges: list[Server] = []  # the caches of this zone, the parents by nearness, the origin
-        self.edge_set: set[Server] = set()  # the same caches: a look-up costs the same however many there are
+        # The caches of this zone. `parents`: those of the zone's hub, then all others.
+        self.edges: list[Server] = []
+        # The same caches as a set: membership tests cost the same however many there are.
+        self.edge_set: set[Server] = set()
         self.parents: list[list[Server]] = [[], []]
         self.origin: Server | None = None
-        # Past TRACKED the longest unasked leaves.
+        # Past MAX_HISTORIES the part that was not requested for the longest time is dropped.
         self.histories: OrderedDict[int, RequestHistory] = OrderedDict()
         self.history_counts = [0] * len(settings.workloads)
         self.values: deque[float] = deque(maxlen=MAX_RECENT_VALUES)
         self.rank_bounds, self.values_until_recut = [0.0, 0.0], 0
-        self.link_utilization = float("inf")  # transfers on the zone's link over those that fit, as last told
-        self.usual_origin_wait = self.usual_fill_wait = (
-            100.0  # ms to a fetched copy; of fills past their sending
-        )
-        # The share answered lately of all pulls of a workload, of those above its mean, and above twice that.
+        # Load of the zone's link over its capacity, as last reported; infinite while none was reported.
+        self.link_utilization = float("inf")
+        # Usual time (ms) that the origin takes for a fetch, and that fills take beyond their sending time.
+        self.usual_origin_wait = self.usual_fill_wait = 100.0
+        # By workload: the recent answered share of all pulls, of those above the mean size, and of those
+        # above twice the mean size.
         self.answered_shares = [[1.0, 1.0, 1.0] for _ in settings.workloads]
         self.mean_sending_times = [workload.target_latency for workload in settings.workloads]
-        self.purges: dict[tuple[int, int], tuple[float, float]] = {}  # made, void; a new one clears these
+        # By (object, -1) or (0, group): when purged and until when the purge is enforced; a new purge drops
+        # expired ones.
+        self.purges: dict[tuple[int, int], tuple[float, float]] = {}
         self.active_plans, self.load_shedder = ActivePlans(Plans(())), LoadShedder(self.random)
-        self.relay_caps = (0.0, 0.0)  # relays that the fleet may have out at a cache, at a parent; 0: any
+        # Relays that all fronts together may have in flight at a cache, and at a parent; 0: no cap.
+        self.relay_caps = (0.0, 0.0)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take in one event and tell what to do."""
+        """Apply one event at the time `now` (ms) and return the actions to carry out, in order."""
         self.now, self.actions = now, []
         match event:
             case Pull():
@@ -276,7 +326,8 @@
                 self._apply_list_update(event)
             case HealthVerdict() if event.cache in self.servers:
                 server = self.servers[event.cache]
-                # The fleet's word; an answer that this front got since the evidence began outweighs it.
+                # A fleet verdict is ignored where this front got an answer after the verdict's evidence
+                # began.
                 if not event.bad or server.answered_at < now - event.evidence_age:
                     server.ejected_until, server.consecutive_failures = (
                         now + event.ttl,
@@ -302,12 +353,16 @@
                 self.purges[purge_key] = (now - event.age, now + self.settings.purge_propagation)
         return self.actions
 
-    # The list of caches
+    # The cache list
     def _apply_list_update(self, event: CacheListUpdate) -> None:
+        """Apply changes or a whole list, then rebuild the caches, parents and origin in use.
+
+        A failed list request is repeated by a timer. The first list sets the limits on fills.
+        """
         if event.kind is ListUpdateKind.CACHED and self.settings.asks_for_list:
             self.actions.append(Watch())
         if event.kind is ListUpdateKind.FAILED:
-            # A list service that is overrun must not be asked by all fronts at once again.
+            # The delay is random: all fronts retrying at once would overload the list service again.
             self.actions.append(StartTimer(0, 500.0 + 1000.0 * self.random.random()))
             return
         if event.kind is not ListUpdateKind.CHANGES:
@@ -339,6 +394,11 @@
             )
 
     def _apply_list_entry(self, entry: CacheEntry) -> None:
+        """Add, update or remove one server.
+
+        A server with a new start time is a new `Server` with estimates reset; one that is not ready leaves
+        the table, so that nothing is sent to it.
+        """
         known = self.servers.pop(entry.cache, None) or self.removed.pop(entry.cache, None)
         if entry.lifecycle is not Lifecycle.READY:
             self._remember_removed(known)
@@ -353,7 +413,8 @@
         server = Server(
             entry, weight, ConcurrencyLimit(limit / sharing_fronts, self.slowdown_decay), 1.0 / sharing_fronts
         )
-        if known:  # what it got before its start was told counts, and what the fleet granted there holds on
+        # Work sent before the list reported the restart counts, and the fleet's leases continue.
+        if known:
             server.sent_work, server.slow_start_share, server.relay_share = (
                 known.sent_work,
                 known.slow_start_share,
@@ -362,6 +423,10 @@
         self.servers[entry.cache] = server
 
     def _remember_removed(self, server: Server | None) -> None:
+        """Keep a server that left while the fleet leases its capacity or caps relays.
+
+        Past MAX_REMOVED the one that left first is dropped.
+        """
         if server and (
             server.slow_start_share.leased_until or server.relay_share.leased_until or any(self.relay_caps)
         ):
@@ -370,7 +435,7 @@
                 del self.removed[next(iter(self.removed))]
 
     def count_sharing_fronts(self, entry: CacheEntry) -> int:
-        """Tell how many fronts send to it."""
+        """Return how many fronts send to a server: those of this zone for its caches, else all."""
         settings = self.settings
         in_own_zone = entry.zone == settings.zone and entry.kind not in (
             settings.parent_kind,
@@ -378,9 +443,14 @@
         )
         return self.sharing_fronts if in_own_zone else max(settings.fronts, 1)
 
-    # The value of an object, and the rank that it earns
+    # The value of an object and its rank
     def _record_and_rank(self, pending: PendingPull) -> int:
-        """Tell the rank at which the pull's copy is kept; 0 is not kept."""
+        """Record the request and return the rank at which the pull's copy is kept.
+
+        The ranks are 1 to 3; 0 is for writes and for parts seen for the first time. The value of a part grows
+        with its request rate, its workload's share of the remembered parts, and its size; its rank is the
+        third of recent values that it falls in.
+        """
         pull = pending.pull
         if pending.is_write:
             return 0
@@ -417,8 +487,9 @@
             ]
         return 1 + bisect_right(self.rank_bounds, value)
 
-    # A pull's course
+    # Candidates for a pull
     def _start_pull(self, pull: Pull) -> None:
+        """Start a pull, or answer it with an error if its workload is unknown or its id is in use."""
         if pull.workload >= len(self.settings.workloads) or pull.id in self.pending:
             self.actions.append(Error(pull.id))
             return
@@ -429,7 +500,8 @@
             self.settings.stream_rate,
             self.active_plans,
         )
-        pending.target_at -= self.lag  # a late front answers late: what cannot be in time is shed early
+        # This front answers late by its lag, so what cannot meet its target latency is shed early.
+        pending.target_at -= self.lag
         self.mean_sending_times[pull.workload] += 0.02 * (
             pending.sending_time - self.mean_sending_times[pull.workload]
         )
@@ -438,14 +510,20 @@
         self._advance(pending, None)
 
     def _candidate_sequence(self, pending: PendingPull) -> CandidateSequence:
+        """Yield candidates, each with the rank at which to keep the copy.
+
+        The caller sends back how the relay to a candidate ended, or None if none was sent. The sequence ends
+        when the pull is shed, no candidate is left or no relay could end before the deadline.
+        """
         rank = self._record_and_rank(pending)
         if self.load_shedder.should_shed(self.now, pending.pull, pending.sending_time):
             return
         while True:
             ended = None
             for candidate in self._candidates(pending):
-                # First-seen fills pass unkept to spare the room. A cache that loses little of what it keeps
-                # has room to spare, so has one just started; a front just started knows of no loss: rank 1.
+                # A first-seen part is not kept, to save room. A cache that loses few of its kept copies has
+                # spare room, as has one that has just started; a front that has just started knows of no
+                # losses. Such a copy is kept at rank 1.
                 has_spare_room = (
                     candidate.source is not candidate.target
                     and candidate.target.eviction_rate < SPARE_EVICTION_RATE
@@ -454,10 +532,11 @@
                 if ended is not None:
                     break
             if ended is None or not pending.unanswered or self.now + pending.sending_time > pending.deadline:
-                return  # where no relay could finish any more, the client is told at once
+                # no relay could end in time: answer the client at once
+                return
 
     def _advance(self, pending: PendingPull, ended: RelayEnded | None) -> None:
-        """Resume a pull's course until one of its ways is sent or it has none left."""
+        """Send the first candidate that may be sent, or give the final answer if none is left."""
         try:
             candidate, rank = pending.sequence.send(ended)
             while not self._send(pending, candidate, rank):
@@ -469,13 +548,17 @@
                 self.pending.pop(pending.pull.id, None)
 
     def _candidates(self, pending: PendingPull) -> Iterator[Candidate]:
-        """Tell where the pull may go, best first."""
+        """Yield the candidates for the pull, best first.
+
+        Available caches in hash order: first those expected to be quick, then those expected to meet the
+        target latency. If no cache is available, a pull that has not failed yet tries them all.
+        """
         hash_order = pending.hash_order = pending.hash_order or sorted(
-            self.edges, key=lambda other: -self._hash_score(pending.part_key, other)
+            self.edges, key=lambda other: -self._draw(pending.part_key, other)
         )
         edges = [edge for edge in hash_order if edge in self.edge_set]
         available = [edge for edge in edges if self._is_available(edge) and edge not in pending.rejected_by]
-        # A pull that two caches answer with an error is at fault itself: it is not sent round all of them.
+        # A pull that two caches answered with an error is at fault itself and is not sent to all of them.
         available = [
             edge
             for edge in available
@@ -483,7 +566,8 @@
         ]
         if pending.missed_by in available:
             yield from self._fill_candidates(pending, pending.missed_by)
-            # Before it is shed, a neighbour that it spilled to earlier may hold it: a look costs little.
+            # Before it is shed, it is looked up at other caches: one that an earlier pull spilled to may hold
+            # the copy, and a lookup is cheap.
             not_known_to_miss = (
                 other
                 for other in available
@@ -491,16 +575,17 @@
             )
             yield from (Candidate(other, other) for other in not_known_to_miss)
             return
-        # A hot object, or a cache that is slow, must not jam one link while others have room: a cache that
-        # would take most of the quoted time passes the pull on in hash order, and takes it back later.
+        # A hot object or a slow cache must not saturate one link while others have room: a cache expected to
+        # take most of the time to the target latency is passed over in hash order, and used again later.
         max_time = SPILL_SHARE * (pending.target_at - self.now)
         with_room = {
             edge: None
             for edge in available
             if pending.sending_time * edge.limit.expected_slowdown(self.now) <= max_time
         }
-        # Overload: what cannot be answered by its quoted time would only slow down the others. Where all are
-        # crowded the order stays the hash's: the least crowded of late would keep copies everywhere.
+        # Under overload, a pull that cannot meet its target latency would only slow down the others. If all
+        # caches are slow the hash order is kept: choosing the least loaded one would spread copies over all
+        # caches.
         in_order = [
             *with_room,
             *(
@@ -509,23 +594,30 @@
                 if edge not in with_room and self._can_be_in_time(pending, edge.limit)
             ),
         ]
-        for edge in (
-            in_order if available or pending.failures else edges
-        ):  # nothing is well: better a try than none
+        # With no cache available, a first attempt at any is better than none.
+        for edge in in_order if available or pending.failures else edges:
             yield from self._candidates_at(pending, edge)
 
     def _candidates_at(self, pending: PendingPull, edge: Server) -> Iterator[Candidate]:
-        # A look tells what the cache holds, so which pulls are fills. A cold cache is not asked twice.
+        """Yield a lookup at the cache, then its fills."""
+        # A lookup shows whether the cache holds a copy, so which pulls need a fill. A cache in slow start is
+        # not asked twice.
         if not pending.is_write and not self.slow_start_budget(edge):
             yield Candidate(edge, edge)
         yield from self._fill_candidates(pending, edge)
 
     def _fill_candidates(self, pending: PendingPull, edge: Server) -> Iterator[Candidate]:
-        """Tell how the edge may come by a copy, best first."""
+        """Yield the routes by which the cache may get a copy, best first.
+
+        A fill is offered only where the zone's link has room for it, and stale copies come before fills or
+        after them as the service level says. While the origin is too slow, parents are asked only for what
+        they hold.
+        """
         sources = self._fill_sources(pending)
         first_parent = sources[0] if sources and sources[0] is not self.origin else None
-        # What comes in shares one link. More fills than it carries all end late, are given up and keep
-        # nothing, so that the next pulls miss as well; so a fill that cannot be in time is not begun.
+        # All fills share one link. If more are started than it carries, all end late, are abandoned and leave
+        # no copy, so that the next pulls miss as well. A fill that cannot be in time is therefore not
+        # started.
         request_gaps = pending.history.request_gaps if pending.history else None
         may_fill = self.load_shedder.may_fill(request_gaps, self.fill_limit.in_flight, self.fill_limit.size)
         link_has_room = may_fill and (pending.joins_fill or self._can_be_in_time(pending, self.fill_limit))
@@ -541,8 +633,8 @@
             stale_candidates.append(Candidate(edge, first_parent, only_cached=True, allow_stale=True))
         yield from stale_candidates if self.load_shedder.service_level.prefer_stale else ()
         if link_has_room and not pending.origin_rejected:
-            # In the same way a slow origin, asked for more than it can do, is in time for nobody: past a
-            # limit of its own a parent gives only what it holds.
+            # In the same way an overloaded origin answers nobody in time: past its own limit a parent is
+            # asked only for what it holds.
             fetch_time = (self.usual_origin_wait + pending.sending_time) * self.origin_limit.slowdown(
                 self.now
             )
@@ -552,7 +644,7 @@
             )
             origin_in_time = origin_in_time or pending.is_write
             for source in sources:
-                # With many fronts a source's link is full long before a front's own limit tells.
+                # With many fronts a source's link is full long before this front's own limit shows it.
                 if origin_in_time and self._can_be_in_time(pending, source.limit):
                     yield Candidate(edge, source)
                 elif not (
@@ -562,9 +654,14 @@
         yield from () if self.load_shedder.service_level.prefer_stale else stale_candidates
 
     def _can_be_in_time(self, pending: PendingPull, limit: ConcurrencyLimit) -> bool:
-        """Tell whether it can be in the quoted time, or late at a place that is not busy."""
-        # Gain goes by the pull and room by the byte: a pull larger than the mean bears less crowd. The more
-        # fronts, the fewer answers each sees: what it knows of a crowd gets a margin.
+        """Return whether a relay behind this limit is expected to meet its target latency.
+
+        The expected time is the sending time, stretched by the expected slowdown; it must fit in
+        ADMISSION_SHARE of the time left. Where the limit is idle, the deadline replaces the target latency.
+        """
+        # Gain is earned per pull but capacity is used per byte, so a pull above the mean size tolerates less
+        # slowdown. The more fronts there are, the fewer answers each one sees, so its estimate of the
+        # slowdown gets a safety margin.
         size_factor = (
             max(pending.sending_time / max(self.mean_sending_times[pending.pull.workload], 1.0), 1.0) ** 0.5
         )
@@ -581,31 +678,36 @@
         )
 
     def _size_tier(self, pending: PendingPull) -> int:
-        """Tell whether it is above the mean of its workload (1), and above twice that (2)."""
+        """Return 0 for a pull up to its workload's mean size, 1 above it and 2 above twice the mean."""
         relative_size = pending.sending_time / max(self.mean_sending_times[pending.pull.workload], 1.0)
         return (relative_size > 1.0) + (relative_size > 2.0)
 
     def _answer_by(self, pending: PendingPull) -> float:
-        """Tell by when it should be answered: the quoted time, or its cut-off.
+        """Return the time by which a pull should be answered: its target latency or its deadline.
 
-        Guards the large, which a crowd's room by the byte sheds first: where fewer of them are answered of
-        late than is their part, they may be late. It costs room that smaller ones earn more with.
+        Under load, large pulls are shed first because capacity is used per byte. Where fewer of them were
+        answered recently than their fair share, they may exceed the target latency. This costs capacity on
+        which smaller pulls would earn more.
         """
         shares, tier = self.answered_shares[pending.pull.workload], self._size_tier(pending)
         return pending.deadline if tier and shares[tier] < FAIR_SHARE_RATIO * shares[0] else pending.target_at
 
     def _record_answered_share(self, pending: PendingPull, answered: bool) -> None:
+        """Update the answered shares of the pull's workload and size tier."""
         shares = self.answered_shares[pending.pull.workload]
         for tier in {0, self._size_tier(pending)}:
             shares[tier] += ANSWERED_SHARE_GAIN * (answered - shares[tier])
 
     def _fill_sources(self, pending: PendingPull) -> list[Server]:
-        """Tell where a miss may be filled from, best first."""
+        """Return the sources of a fill, best first: parents of the hub, other parents, the origin.
+
+        Available sources that can be in time come first, then available but slow ones, then ejected ones.
+        """
         groups = [] if pending.is_write else self.parents
         sources = [
             parent
             for group in groups
-            for parent in sorted(group, key=lambda parent: -self._hash_score(pending.part_key, parent))
+            for parent in sorted(group, key=lambda parent: -self._draw(pending.part_key, parent))
         ]
         sources += [self.origin] if self.origin else []
         return sorted(
@@ -614,23 +716,26 @@
             + (not self._can_be_in_time(pending, source.limit)),
         )
 
-    def _hash_score(self, object_key: int, server: Server) -> float:
-        """Rendezvous hashing: each cache draws for the object; twice the weight wins twice as often."""
+    def _draw(self, object_key: int, server: Server) -> float:
+        """Return a cache's score for a part in rendezvous hashing; twice the weight wins twice as often."""
         return server.weight / -log((hash_pair(object_key, server.entry.cache) + 1) / (UINT64_MAX + 2))
 
     def _is_available(self, server: Server) -> bool:
-        """A struck cache rests, and then gets one relay at a time until it answers."""
+        """Return whether relays may be sent to the server now.
+
+        An ejected server gets none until its back-off ends, and then one at a time until it answers.
+        """
         return self.now >= server.ejected_until and (
             not server.consecutive_failures or not server.limit.in_flight
         )
 
-    # The gate: each rule is kept here, for every send and every final answer
+    # Sending and answering: every relay and every final answer passes here, and every rule is enforced here.
     def _send(self, pending: PendingPull, candidate: Candidate, rank: int) -> bool:
-        """Send one relay, or bar it."""
+        """Send one relay of a pull to the candidate if every rule allows it; return whether it was sent."""
         settings, pull, target, source = self.settings, pending.pull, *candidate[:2]
-        # No relay outlasts its workload's cut-off.
+        # No relay lasts longer than its workload's deadline.
         time_left = min(pending.deadline - self.now, pending.workload.deadline)
-        # Pulls get one answer in time, and nothing after it.
+        # A pull gets one answer in time and nothing after it; it has one relay in flight at a time.
         if (
             not pending.unanswered
             or pending.in_flight
@@ -638,22 +743,23 @@
             or pending.relay_count >= settings.relay_limit
         ):
             return False
-        # No effect happens twice.
+        # A pull takes effect only once.
         if pending.may_have_run and not self._may_repeat_at(pending, target):
             return False
-        # An outage is not multiplied: where a plan sets budgets, a further relay goes only within each.
+        # Retries must not multiply an outage: where a plan sets budgets, a further relay needs room in each
+        # of them.
         further = pending.failures > 0
         if further and not pending.retry_budgets.has_room(self.now):
             return False
-        # Drains are kept: only what the list has as ready is in the table.
+        # A drained server gets nothing new: the table holds only servers that the list has as ready.
         if any(self.servers.get(server.entry.cache) is not server for server in (target, source)):
             return False
-        # The fleet has no more out at one cache than its cap: this front keeps to its part.
+        # The fleet caps the relays in flight at one server; this front keeps to its share.
         if any(self._exceeds_cap(server) for server in {target: 0, source: 0}):
             return False
-        # Cold caches are not pushed over.
+        # A server in slow start is not overloaded.
         mean_time = self.mean_sending_times[pull.workload]
-        # A cache counts each ask at its workload's mean, a parent at its size.
+        # A cache counts each request at its workload's mean, a parent at its size.
         work = pending.sending_time or mean_time
         if not self._fits_slow_start_budget(target, mean_time) or (
             source is not target and not self._fits_slow_start_budget(source, work)
@@ -663,7 +769,7 @@
         pending.source_work = [self.now, work]
         if source is not target:
             source.sent_work.append(pending.source_work)
-        # Purges are kept.
+        # Copies from before a purge are not accepted.
         max_age = pending.workload.fresh_ttl + pending.workload.stale_ttl if candidate.allow_stale else 0.0
         for purge_key in ((pull.object, -1), (0, pull.group)):
             purged_at, applies_until = self.purges.get(purge_key, (0.0, 0.0))
@@ -676,7 +782,7 @@
             limit.in_flight += 1
         target.retry_tokens -= float(further)
         pending.retry_budgets.record_relay(self.now, further, pending.relay_count)
-        # A repeat is dropped only for so long: it may not wait to be written past that.
+        # Caches drop repeats for the dedup window only, so the relay must not be written after that.
         write_within = (
             pending.may_have_run[0] + pending.workload.dedup_window - self.now
             if pending.may_have_run
@@ -689,7 +795,8 @@
         pending.slowdown_at_send = max(bottleneck.in_flight / bottleneck.size, 1.0)
         timeout = TIMEOUT_FACTOR * pending.sending_time * pending.slowdown_at_send
         if target.lookup_loss_rate > LOSS_RATE_THRESHOLD:
-            # What loses answers is well otherwise: who waits as long as for a slow cache is late for nothing.
+            # A cache that loses answers is otherwise healthy: waiting as long as for a slow one only delays
+            # the retry.
             timeout = min(
                 NORMAL_PACE_FACTOR
                 * pending.sending_time
@@ -727,13 +834,16 @@
         return True
 
     def _handle_timer(self, timer_id: int) -> None:
-        """Go on after a wait; or give the relay out up for a second copy, where one may go elsewhere.
+        """Resume a pull after its retry wait, or hedge it.
 
-        Guards against a cache that is slow and not ill; harms where all are slow alike: so budgets bound it.
+        To hedge, the relay in flight is recalled so that the pull is retried at another cache. This guards
+        against a cache that is slow without failing. Where all caches are slow it adds load, so the retry
+        budgets bound it.
         """
         pending = self.pending.get(timer_id >> TIMER_SUFFIX_BITS)
         if pending is None:
-            self.actions += [Watch()] if timer_id == 0 else []  # 0 is the list's: it is asked for again
+            # timer 0: ask for the list again
+            self.actions += [Watch()] if timer_id == 0 else []
         elif (
             pending.awaiting_retry is not None
             and timer_id == pending.pull.id << TIMER_SUFFIX_BITS | RETRY_WAIT_SUFFIX
@@ -760,7 +870,7 @@
                 self.actions.append(Recall(pending.pull.id, pending.relay_count - 1))
 
     def _limits_of_relay(self, pending: PendingPull) -> list[ConcurrencyLimit]:
-        """Tell which limits the relay that is out counts against."""
+        """Return the limits that the relay in flight counts against."""
         limits = [
             server.limit for server in dict.fromkeys((pending.candidate.target, pending.candidate.source))
         ]
@@ -770,7 +880,11 @@
         return limits + shared_limits * pending.is_fill
 
     def _may_repeat_at(self, pending: PendingPull, target: Server) -> bool:
-        """Tell whether a pull that may have run may go to this cache as well."""
+        """Return whether a pull that may have run may also be sent to this server.
+
+        An idempotent pull may go anywhere, one with an idempotency key only where and while its repeats are
+        dropped.
+        """
         assert pending.may_have_run is not None
         (sent_at, first_entry, _), workload = pending.may_have_run, pending.workload
         if workload.idempotency is not Idempotency.TAGGED:
@@ -780,7 +894,10 @@
         return same_zone and same_cell and self.now < sent_at + workload.dedup_window
 
     def slow_start_budget(self, server: Server) -> float:
-        """Tell the work that a cold server may get in a window that began before now; 0 where it is warm."""
+        """Return the work (ms of sending time) that a server in slow start may get per overload window.
+
+        0: the server is not in slow start and has no such bound.
+        """
         settings, entry, age = self.settings, server.entry, self.now - server.started_at
         initial_share, duration, overload_factor = (
             settings.slow_start_initial_share,
@@ -799,10 +916,11 @@
         whole_budget = (
             SLOW_START_BUDGET_SHARE * overload_factor * share * server.weight * settings.overload_window
         )
-        return whole_budget * server.slow_start_share.share_at(self.now)  # the rest may be lent
+        # the rest may be leased to other fronts
+        return whole_budget * server.slow_start_share.share_at(self.now)
 
     def _fits_slow_start_budget(self, server: Server, work: float) -> bool:
-        """Tell whether a cold server's budget holds this much more."""
+        """Return whether a server's slow-start budget has room for more work (ms of sending time)."""
         while server.sent_work and server.sent_work[0][0] <= self.now - self.settings.overload_window:
             server.sent_work.popleft()
         budget = self.slow_start_budget(server)
@@ -811,7 +929,7 @@
         return fits
 
     def _exceeds_cap(self, server: Server) -> bool:
-        """Tell whether one more relay out at a cache or parent would pass this front's part of the cap."""
+        """Return whether one more relay in flight at a server would exceed this front's share of the cap."""
         cap = (
             self.relay_caps[server.entry.kind == self.settings.parent_kind]
             if server is not self.origin
@@ -820,10 +938,10 @@
         return cap > 0.0 and not server.relay_share.fits(server.limit.in_flight + 1, cap, self.now)
 
     def _give_final_answer(self, pending: PendingPull) -> None:
-        """Give the final answer: shed where trying again is harmless, else errored."""
+        """Give the final answer: shed where a client's retry is harmless, else an error."""
         pending.unanswered, workload, settings = False, pending.workload, self.settings
         self._record_answered_share(pending, False)
-        # A repeat is known.
+        # All caches recognise a repeat and drop it.
         repeats_dropped = (
             workload.idempotency is Idempotency.TAGGED and workload.dedup_scope is DedupScope.ALL
         )
@@ -837,7 +955,11 @@
             self.actions.append(Error(pending.pull.id))
 
     def _release(self, pending: PendingPull) -> None:
-        """Nothing is owed any more. Taking back what was never sent needs no leave."""
+        """Drop a pull that needs no answer any more, or recall its relay in flight.
+
+        Where the settings do not allow recalls, the relay is recalled only if it was not sent yet, which
+        needs no permission.
+        """
         pending.sequence.close()
         if pending.in_flight:
             self.actions.append(
@@ -846,8 +968,13 @@
         else:
             self.pending.pop(pending.pull.id, None)
 
-    # What relays tell
+    # Relay results
     def _handle_relay_ended(self, event: RelayEnded) -> None:
+        """Record the end of a relay, then retry the pull, wait to retry it, or finish it.
+
+        A pull that was answered is finished. One that failed is retried if the service level, its plan and
+        its deadline allow it, after the plan's wait.
+        """
         pending = self.pending.get(event.id)
         if pending is None or not pending.in_flight or event.relay != pending.relay_count - 1:
             return
@@ -867,7 +994,8 @@
                 pending.plan, pending.failures, event.outcome
             )
             if not may_go_on or wait + self.now > pending.deadline:
-                pending.sequence.close()  # given up, and told at once
+                # give up and answer at once
+                pending.sequence.close()
             elif wait > 0.0:
                 pending.awaiting_retry = event
                 self.actions.append(StartTimer(event.id << TIMER_SUFFIX_BITS | RETRY_WAIT_SUFFIX, wait))
@@ -879,6 +1007,11 @@
             self.pending.pop(event.id, None)
 
     def _update_estimates(self, pending: PendingPull, event: RelayEnded) -> None:
+        """Update limits, slowdowns, error rates and ejections from how a relay ended.
+
+        The main question is who is at fault: the cache that was asked, the source of a fill, the zone's link
+        or the origin. Answers that do not say how they came about are classified first.
+        """
         target, source, outcome, remark = (
             pending.candidate.target,
             pending.candidate.source,
@@ -887,16 +1020,19 @@
         )
         waited, confidence = event.waited, 1.0
         if outcome is Outcome.TIMEOUT and self.link_utilization == float("inf"):
-            # It may have waited all of its LATE: the silence of a cache or a source is not laid to the link.
-            # Where the link's fullness is told, it goes to the source.
+            # It may have waited for all of FILL_ALLOWANCE_MS: the silence of a cache or a source is not
+            # attributed to the link. Where the link's utilization is reported, the wait is attributed to the
+            # source.
             waited = FILL_ALLOWANCE_MS
         if outcome is Outcome.FULL and pending.is_fill and remark is Remark.NONE:
-            # Untold who turned it away: its source, as a dead one does; the next one too: the origin behind.
+            # The answer does not say who rejected the fill: assume its source, which a failed parent looks
+            # like; at a second rejection, assume the origin behind the sources.
             remark = Remark.ORIGIN_FAILED if pending.fill_rejected else Remark.SOURCE_BROKE
             pending.fill_rejected = True
         if outcome is Outcome.OK and remark is Remark.NONE:
-            # Nothing is told of how it came about: a look finds only what is kept, all else was filled, and
-            # what it took past its sending was a wait as far as that is usual; short sendings tell little.
+            # The answer does not say how it came about: a lookup finds only kept copies, all else was filled.
+            # Time beyond the sending time was a wait, up to the usual wait; short transfers say little about
+            # the link.
             remark = Remark.HIT if source is target else Remark.FILLED
             excess_time = max(event.duration - pending.sending_time, 0.0)
             if pending.is_fill:
@@ -907,7 +1043,7 @@
                 confidence = pending.sending_time / (pending.sending_time + waited + 1.0)
         if self.settings.link_load_index < len(event.load) and target in self.edge_set:
             self.link_utilization = event.load[self.settings.link_load_index]
-            # Others' share of the link.
+            # The other fronts' share of the link.
             self.fill_limit.record_slowdown(
                 (1.0 - 1.0 / self.count_sharing_fronts(target.entry)) * self.link_utilization, self.now
             )
@@ -920,7 +1056,8 @@
         pending.origin_rejected = pending.origin_rejected or remark is Remark.ORIGIN_FAILED
         pending.failures += outcome is not Outcome.OK and not lookup_missed
         if source is target and outcome in (Outcome.OK, Outcome.MISS, Outcome.TIMEOUT):
-            # What is slow times out as well, but its answers are slow too, by the longer of them.
+            # A slow cache times out as well, but its answers are slow too, and more so for longer transfers:
+            # a time-out beside quick answers is a lost one.
             if outcome is Outcome.OK:
                 observed = max((event.duration - TRANSFER_ALLOWANCE_MS) / max(pending.sending_time, 1.0), 1.0)
                 target.slowdown += (
@@ -943,9 +1080,8 @@
             * (outcome in (Outcome.OK, Outcome.MISS, Outcome.ERROR))
         )
         if remark is Remark.HIT:
-            pending.source_work[1] = (
-                0.0  # the source was not asked; one that answers that it lacks the copy was
-            )
+            # The source was not asked, so it did no work; one that answered that it lacks the copy was asked.
+            pending.source_work[1] = 0.0
         cached_at = (
             pending.history.cached_at if pending.history and not pending.candidate.allow_stale else None
         )
@@ -966,19 +1102,20 @@
         )
         if pending.is_fill and remark is not Remark.HIT and not lookup_missed:
             if outcome in (Outcome.OK, Outcome.TIMEOUT):
-                # A slow transfer over a link that is not full is its source's fault: a parent that has gone
-                # grey answers at once and sends slowly. Where fullness is not told, both are blamed.
+                # A slow transfer over a link that is not full is its source's fault: a degraded parent
+                # answers at once and sends slowly. Where utilization is not reported, both may be blamed.
                 source.limit.adjust(at_pace, self.now)
                 slowdown = (
                     max(transfer_time - TRANSFER_ALLOWANCE_MS, 0.0) / pending.sending_time
                     if pending.sending_time
                     else 0.0
                 )
-                # A fetched copy far slower than the parent's crowd explains is slow by the origin's link.
+                # A fetched copy that is far slower than the parent's slowdown explains is slow because of the
+                # origin's link.
                 by_origin = from_origin and slowdown > 2.0 * source.limit.slowdown(self.now)
                 link_slowdown = self.link_utilization
                 if link_slowdown == float("inf"):
-                    # Untold: the link is no fuller than what came lately through the quickest other source.
+                    # Not reported: the link is no slower than the quickest other source was recently.
                     other_sources = [other for other in self._fill_sources(pending) if other is not source]
                     other_sources = [
                         other for other in other_sources if self.now - other.slowdown_at < self.slowdown_decay
@@ -1007,7 +1144,8 @@
                 if at_pace or self.link_utilization > 1.0:
                     self.fill_limit.adjust(at_pace, self.now)
             if remark is Remark.ORIGIN_FAILED:
-                # Each failure doubles the wait expected: with many fronts, none has two out to learn from.
+                # Each failure doubles the expected wait: with many fronts, none has two relays
+                # in flight there to learn from.
                 self.origin_limit.record_slowdown(3.0 * self.origin_limit.slowdown(self.now), self.now)
             if (
                 remark is Remark.ORIGIN_FAILED
@@ -1036,13 +1174,14 @@
             if remark is not Remark.NO_PLACE:
                 target.limit.adjust(False, self.now, proven=True)
         elif outcome is Outcome.CONNECT_FAILED:
-            # What takes no connections is down, and cold when it is back, seconds before the list tells
-            # so. It harms where a cache that was merely full is then sent too little.
+            # A server that refuses connections is down, and back in slow start seconds before the list
+            # reports its restart. The cost: a cache that was merely full is then sent too little.
             self._eject(target)
             target.started_at = self.now
         elif outcome in (Outcome.RESET, Outcome.TIMEOUT):
-            # What has vanished answers nothing; a break beside answers is no illness. A slow origin or link
-            # delays all sources: one behind while another delivers is at fault (unless on one long answer).
+            # A server that vanished answers nothing; a broken connection beside other answers is no sign of
+            # that. A slow origin or link delays all sources, so a source is at fault only if another one
+            # delivered meanwhile (unless that was one long answer).
             if outcome is Outcome.TIMEOUT:
                 target.limit.adjust(False, self.now)
             if target.answered_at < pending.sent_at:
@@ -1058,7 +1197,8 @@
                 self._record_success(source)
             if server_error:
                 pending.rejected_by.append(target)
-                # What errs while others do not is ill, and quick: all that is hashed to it would fail.
+                # A cache that returns errors while others do not is faulty and quick about it: every pull
+                # hashed to it would fail.
                 if (
                     target.error_rate
                     > ERROR_RATE_THRESHOLD
@@ -1067,11 +1207,15 @@
                     self._eject(target)
 
     def _record_success(self, server: Server) -> None:
+        """Record a good answer of a server: it ends the ejection and earns retry tokens."""
         server.answered_at, server.consecutive_failures, server.ejected_until = self.now, 0, 0.0
         server.retry_tokens = min(server.retry_tokens + RETRY_TOKENS_PER_ANSWER, MAX_RETRY_TOKENS)
 
     def _eject(self, server: Server) -> None:
-        """Leave a server alone that failed; relays that fail together count once."""
+        """Eject a server that failed, with exponential back-off and jitter.
+
+        Failures during an ejection count once: relays that fail together have one cause.
+        """
         if self.now < server.ejected_until:
             return
         back_off = min(FIRST_BACK_OFF_MS * 2.0**server.consecutive_failures, MAX_BACK_OFF_MS)
--- a/cometseam/settings.py
+++ b/cometseam/settings.py
@@ -1,6 +1,6 @@
-"""From the settings' JSON object to what the decisions and the network code read of it.
+"""Decoding of the settings JSON object into what the decisions and the network code use.
 
-Both sides, the simulator's wire and the real front, decode it here; unknown keys are skipped.
+The simulator's wire host and the real front both decode it here; unknown keys are ignored.
 """
 
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
     "deduplicated": Idempotency.TAGGED,
     "at_most_once": Idempotency.ONCE_ONLY,
 }
-GROUPS = {str(group): group for group in DedupScope}
+DEDUP_SCOPES = {str(group): group for group in DedupScope}
 
 
 @dataclass(frozen=True, slots=True)
 class NameTables:
-    """What messages on sockets call by name and the decisions by place."""
+    """The names, by index, that messages on sockets use where the decisions use an index."""
 
     workloads: tuple[str, ...]
     zones: tuple[str, ...]
@@ -28,34 +28,35 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkSettings:
-    """What the network code is held to; times in ms."""
+    """Limits and time-outs of the network code; durations in ms."""
 
     max_streams: int
     connect_timeout: float
     idle_timeout: float
-    max_deadline: float  # of any workload: what is stuck for longer helps nobody
-    answer_grace: float  # after a pull's cut-off in which its answer still counts
-    drain_grace: float = 500.0  # after word that an endpoint drains in which requests may still go to it
+    max_deadline: float  # the longest of all workloads: an operation stuck for longer is useless to everyone
+    answer_grace: float  # time after a pull's deadline in which its answer still counts
+    # Time after notice of an endpoint's drain in which requests may still be sent to it.
+    drain_grace: float = 500.0
 
 
-def read_settings(info: Section) -> Settings:
-    """Decode what the decisions read."""
-    family = info.section("familyInfo", {})
-    safety, ceilings = info.section("safety"), info.section("ceilings")
-    reports = [*info.section("report").texts("names"), "x1"]
+def read_settings(root: Section) -> Settings:
+    """Decode the settings that the decisions use."""
+    family = root.section("familyInfo", {})
+    safety, ceilings = root.section("safety"), root.section("ceilings")
+    report_names = [*root.section("report").texts("names"), "x1"]
     return Settings(
         workloads=tuple(
-            _workload(grade, place, family) for place, grade in enumerate(info.sections("grades"))
+            _read_workload(entry, index, family) for index, entry in enumerate(root.sections("grades"))
         ),
-        zone=info.integer("locality"),
+        zone=root.integer("locality"),
         hub_of=tuple(int(hub) for hub in family.numbers("hubOf")),
         fronts_by_zone=tuple(int(count) for count in family.numbers("instancesByZone")),
-        fronts=info.integer("balancers"),
+        fronts=root.integer("balancers"),
         parent_kind=family.integer("midKind", -1),
         origin_kind=family.integer("storeKind", -1),
-        asks_for_list=info.text("discovery") == "ask",
-        weights_known=info.text("weights") in ("nominal", "rough"),
-        link_load_index=reports.index("x1"),
+        asks_for_list=root.text("discovery") == "ask",
+        weights_known=root.text("weights") in ("nominal", "rough"),
+        link_load_index=report_names.index("x1"),
         can_recall=ceilings.flag("cancel"),
         sends_retry_after=ceilings.flag("retryAfter"),
         max_retry_after=ceilings.number("maxRetryAfter"),
@@ -73,45 +74,45 @@
     )
 
 
-def _workload(grade: Section, place: int, family: Section) -> Workload:
-    def listed(key: str, absent: float) -> float:
+def _read_workload(entry: Section, index: int, family: Section) -> Workload:
+    def number_at_index(key: str, default: float) -> float:
         values = family.numbers(key)
-        return values[place] if place < len(values) else absent
+        return values[index] if index < len(values) else default
 
     writes = family.flags("classWrite")
     return Workload(
-        target_latency=grade.number("aim"),
-        target_latency_factor=grade.number("aimStretch", 0.0),
-        deadline=grade.number("hardLimit"),
-        gain=grade.number("worth"),
-        idempotency=grade.one_of("repeat", EFFECTS),
-        dedup_scope=grade.one_of("group", GROUPS),
-        dedup_window=grade.number("window"),
-        is_write=place < len(writes) and writes[place],
-        fresh_ttl=listed("goodFor", 0.0),
-        stale_ttl=listed("usableAfter", 0.0),
-        stale_gain=listed("oldCopyWorth", 1.0),
+        target_latency=entry.number("aim"),
+        target_latency_factor=entry.number("aimStretch", 0.0),
+        deadline=entry.number("hardLimit"),
+        gain=entry.number("worth"),
+        idempotency=entry.one_of("repeat", EFFECTS),
+        dedup_scope=entry.one_of("group", DEDUP_SCOPES),
+        dedup_window=entry.number("window"),
+        is_write=index < len(writes) and writes[index],
+        fresh_ttl=number_at_index("goodFor", 0.0),
+        stale_ttl=number_at_index("usableAfter", 0.0),
+        stale_gain=number_at_index("oldCopyWorth", 1.0),
     )
 
 
-def read_name_tables(info: Section) -> NameTables:
-    """Decode the names in use on sockets."""
+def read_name_tables(root: Section) -> NameTables:
+    """Decode the names that are used on sockets."""
     return NameTables(
-        workloads=tuple(grade.text("name") for grade in info.sections("grades")),
-        zones=info.texts("zones"),
-        kinds=info.texts("skus"),
-        load_report_names=info.section("report").texts("names"),
+        workloads=tuple(entry.text("name") for entry in root.sections("grades")),
+        zones=root.texts("zones"),
+        kinds=root.texts("skus"),
+        load_report_names=root.section("report").texts("names"),
     )
 
 
-def read_network_settings(info: Section) -> NetworkSettings:
-    """Decode what the network code is held to."""
-    ceilings = info.section("ceilings")
+def read_network_settings(root: Section) -> NetworkSettings:
+    """Decode the settings that the network code uses."""
+    ceilings = root.section("ceilings")
     return NetworkSettings(
         max_streams=ceilings.integer("streamsPerConn", minimum=1),
         connect_timeout=ceilings.number("dialTimeout", minimum=1),
         idle_timeout=ceilings.number("keepalive", minimum=1),
-        max_deadline=max((grade.number("hardLimit") for grade in info.sections("grades")), default=0.0),
-        answer_grace=info.section("safety").number("graceToAnswer", minimum=0),
-        drain_grace=info.section("safety").number("drainGrace", 500.0, minimum=1),
+        max_deadline=max((entry.number("hardLimit") for entry in root.sections("grades")), default=0.0),
+        answer_grace=root.section("safety").number("graceToAnswer", minimum=0),
+        drain_grace=root.section("safety").number("drainGrace", 500.0, minimum=1),
     )
