--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -1,6 +1,8 @@
-"""The largest pulls of a workload get their part of what is answered: the real module among scripted caches.
+"""The largest pulls of a workload get a fair part of what is answered.
 
-A quiet hour, and one in which every cache sends slowly, so that some are shed; in virtual time, from seeds.
+Shedding under load hits large pulls first, because capacity is used per byte. The real decision module runs
+in virtual time, from seeds, among scripted caches: at low load, and with all caches sending slowly, so that
+some pulls are shed.
 """
 
 from dataclasses import replace
@@ -12,55 +14,68 @@
 from tests.drive import SERVERS, SETTINGS, line
 from tests.standins.scripted import Behave, Said, World
 
-PULLS, EVERY = 1500, 12.0  # and ms between two of them
-GRIDS = replace(SETTINGS.workloads[0], target_latency=600.0, target_latency_factor=1.6, deadline=6000.0)
-SITE = replace(SETTINGS, workloads=(GRIDS,), stream_rate=3.0)
+PULL_COUNT = 1500
+PULL_INTERVAL_MS = 12.0
+WORKLOAD = replace(SETTINGS.workloads[0], target_latency=600.0, target_latency_factor=1.6, deadline=6000.0)
+FRONT_SETTINGS = replace(SETTINGS, workloads=(WORKLOAD,), stream_rate=3.0)
 
 
-def among(crowd: float) -> Behave:
-    """Caches that hold three in four, all answers taking `crowd` times their own sending."""
+def slowed_down_caches(slowdown: float) -> Behave:
+    """Return the behaviour of caches that hold three in four objects and send slower than usual.
 
-    def behave(now: float, relay: i.Relay, pull: i.Pull, chance: Random) -> Said:
-        if relay.source == relay.cache and mixed(pull.object) % 4 == 0:
+    Each answer takes about `slowdown` times its sending time.
+    """
+
+    def behave(now: float, relay: i.Relay, pull: i.Pull, random: Random) -> Said:
+        if relay.source == relay.cache and hash_object(pull.object) % 4 == 0:
             return Said(1.0, i.Outcome.MISS, i.Remark.NONE)
-        taken = pull.size_kb / SITE.stream_rate * crowd * chance.uniform(0.8, 1.2)
-        return Said(taken + chance.uniform(2.0, 20.0), i.Outcome.OK,
+        duration = pull.size_kb / FRONT_SETTINGS.stream_rate * slowdown * random.uniform(0.8, 1.2)
+        return Said(duration + random.uniform(2.0, 20.0), i.Outcome.OK,
                     i.Remark.HIT if relay.source == relay.cache else i.Remark.FILLED)  # fmt: skip
 
     return behave
 
 
-def mixed(word: int) -> int:
-    """Part the objects that are held from those that are not."""
-    return (word * 2654435761) >> 7 & 0xFFFF
+def hash_object(number: int) -> int:
+    """Return a hash that decides which objects are held."""
+    return (number * 2654435761) >> 7 & 0xFFFF
 
 
-def shares(crowd: float, seed: int) -> tuple[float, float, float]:
+def answered_shares(slowdown: float, seed: int) -> tuple[float, float, float]:
     """Return the answered share of all pulls, of the largest tenth, and of the next fifth."""
-    chance = Random(seed)
-    world = World(SITE, tuple(line(cache) for cache in SERVERS), among(crowd), seed)
-    for number in range(1, PULLS + 1):
-        size = min(chance.lognormvariate(6.3, 1.0), 9000.0)
-        pull = i.Pull(number, chance.randrange(1, 400), 0, 0, 6000.0, False, size, 3)
-        world.pull(EVERY * number, pull)
+    random = Random(seed)
+    world = World(FRONT_SETTINGS, tuple(line(cache) for cache in SERVERS), slowed_down_caches(slowdown), seed)
+    for number in range(1, PULL_COUNT + 1):
+        size = min(random.lognormvariate(6.3, 1.0), 9000.0)
+        pull = i.Pull(number, random.randrange(1, 400), 0, 0, 6000.0, False, size, 3)
+        world.pull(PULL_INTERVAL_MS * number, pull)
     world.run()
     assert not world.judge()
     ordered = sorted(world.stories.values(), key=lambda story: -story.pull.size_kb)
-    done = [story.finals[0][1] == "finished" for story in ordered]
-    tenth, fifth = done[: PULLS // 10], done[PULLS // 10 : 3 * PULLS // 10]
-    return sum(done) / len(done), sum(tenth) / len(tenth), sum(fifth) / len(fifth)
+    finished = [story.finals[0][1] == "finished" for story in ordered]
+    largest_tenth, next_fifth = (
+        finished[: PULL_COUNT // 10],
+        finished[PULL_COUNT // 10 : 3 * PULL_COUNT // 10],
+    )
+    return (
+        sum(finished) / len(finished),
+        sum(largest_tenth) / len(largest_tenth),
+        sum(next_fifth) / len(next_fifth),
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_on_a_quiet_day_the_largest_get_two_thirds_of_the_share(seed: int) -> None:
-    every, tenth, fifth = shares(1.05, seed)
-    assert every > 0.9 and min(tenth, fifth) >= 2.0 / 3.0 * every
+def test_at_low_load_the_largest_pulls_get_two_thirds_of_the_answered_share(seed: int) -> None:
+    share, largest_tenth, next_fifth = answered_shares(1.05, seed)
+    assert share > 0.9 and min(largest_tenth, next_fifth) >= 2.0 / 3.0 * share
 
 
-@pytest.mark.parametrize("crowd", [2.0, 2.6])
+@pytest.mark.parametrize("slowdown", [2.0, 2.6])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_where_caches_are_crowded_the_largest_get_half_of_the_share(crowd: float, seed: int) -> None:
-    """Guards the large: without it the largest tenth gets 0.13 and 0.04 of the share."""
-    every, tenth, fifth = shares(crowd, seed)
-    assert 0.3 < every < 0.95  # some are shed, or nothing would be shared out
-    assert min(tenth, fifth) >= 0.5 * every
+def test_with_slow_caches_the_largest_pulls_get_half_of_the_answered_share(
+    slowdown: float, seed: int
+) -> None:
+    """Without the guard for large pulls the largest tenth gets 0.13 and 0.04 of the share."""
+    share, largest_tenth, next_fifth = answered_shares(slowdown, seed)
+    assert 0.3 < share < 0.95  # some pulls are shed, or there would be nothing to share out
+    assert min(largest_tenth, next_fifth) >= 0.5 * share
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -1,4 +1,7 @@
-"""The module alone: each test's decisions are compared with a trace that is kept in `traces/`."""
+"""The decision module alone.
+
+Most tests compare its decisions with a trace that is kept in `traces/`.
+"""
 
 from dataclasses import replace
 
@@ -9,7 +12,7 @@
 from tests.drive import ORIGIN, PARENTS, SETTINGS, Drive, line
 
 
-def test_first_seen_passes_unkept_and_later_pulls_are_ranked() -> None:
+def test_first_seen_part_is_not_kept_and_later_pulls_are_ranked() -> None:
     drive = Drive()
     for edge in drive.front.edges:
         edge.eviction_rate = 0.5  # the caches are full
@@ -17,12 +20,12 @@
         drive.pull(number, after=400.0)
         drive.lack(number)
         drive.end(number, remark=i.Remark.FILLED)
-    drive.pull(4, wanted=6, workload=3)  # of a workload that cannot be cached
+    drive.pull(4, wanted=6, workload=3)  # of a workload of writes, which cannot be cached
     drive.end(4)
     drive.check("ordinary")
 
 
-def test_first_seen_fills_are_kept_until_kept_copies_are_found_gone() -> None:
+def test_first_seen_fills_are_kept_until_the_cache_has_evicted_copies() -> None:
     drive = Drive(caches=(12, *PARENTS, ORIGIN))
     for number in range(1, 13):
         drive.pull(number, wanted=6 + number // 12)
@@ -32,13 +35,13 @@
     drive.check("spare_room")
 
 
-def test_once_only_and_tagged_pulls_are_not_run_twice() -> None:
+def test_non_idempotent_and_keyed_pulls_are_not_run_twice() -> None:
     drive = Drive()
     for number, workload in enumerate((0, 1, 2), 1):
         drive.pull(number, workload=workload)
         drive.end(number, i.Outcome.RESET, i.Remark.NONE)
     drive.pull(4, workload=2)
-    drive.end(4, i.Outcome.FULL, i.Remark.NONE)  # proves that it did not run
+    drive.end(4, i.Outcome.FULL, i.Remark.NONE)  # a full cache did not run it
     drive.check("effects")
 
 
@@ -52,7 +55,7 @@
     drive.check("drain")
 
 
-def test_cold_servers_get_no_more_than_their_budget() -> None:
+def test_servers_in_slow_start_get_no_more_than_their_budget() -> None:
     drive = Drive(caches=(11, 21, ORIGIN))
     drive.tell(
         i.CacheListUpdate(
@@ -64,10 +67,10 @@
     drive.check("cold")
 
 
-def test_asks_for_what_a_cold_parent_holds_stay_in_its_budget() -> None:
+def test_lookups_at_a_parent_in_slow_start_stay_in_its_budget() -> None:
     drive = Drive(caches=(11, 21, ORIGIN))
     drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(21, ready_at=drive.now),)))
-    drive.front.origin_limit.size = 0.0  # the origin is strained
+    drive.front.origin_limit.size = 0.0  # the origin is overloaded
     for number in range(1, 7):
         drive.pull(number, wanted=number)
         drive.lack(number)
@@ -77,7 +80,7 @@
     drive.check("asks")
 
 
-def test_a_dead_parents_full_answers_do_not_count_against_the_cache() -> None:
+def test_rejections_caused_by_a_dead_parent_do_not_count_against_the_cache() -> None:
     drive = Drive()
     for number in range(1, 4):
         drive.pull(number)
@@ -87,12 +90,13 @@
     drive.check("dead_parent")
 
 
-def test_a_parent_is_silent_only_where_another_delivers() -> None:
+def test_a_parent_that_times_out_is_at_fault_only_if_another_delivers() -> None:
     drive = Drive()
     for number, wanted in ((1, 5), (2, 4), (6, 5)):
         drive.pull(number, wanted=wanted)
         drive.lack(number)
-    drive.end(1, i.Outcome.TIMEOUT, i.Remark.NONE, after=800.0)  # both parents are late: neither is at fault
+    # Both parents are late, so neither is at fault.
+    drive.end(1, i.Outcome.TIMEOUT, i.Remark.NONE, after=800.0)
     drive.pull(4, wanted=5)
     drive.lack(4)
     drive.end(2, remark=i.Remark.FILLED)
@@ -102,7 +106,7 @@
     drive.check("silent_parent")
 
 
-def test_a_strained_origin_is_asked_less_and_ageing_copies_serve() -> None:
+def test_an_overloaded_origin_is_asked_less_and_stale_copies_are_used() -> None:
     drive = Drive()
     drive.pull(1)
     drive.lack(1)
@@ -115,7 +119,7 @@
     drive.check("strained")
 
 
-def test_purged_copies_are_too_old() -> None:
+def test_copies_from_before_a_purge_are_not_accepted() -> None:
     drive = Drive()
     drive.tell(i.Purged(0, 3, 40.0))
     drive.pull(1, after=0.0)
@@ -125,7 +129,7 @@
     drive.check("purge")
 
 
-def test_a_silent_cache_loses_its_pulls_to_the_next() -> None:
+def test_pulls_of_a_cache_that_times_out_go_to_the_next() -> None:
     drive = Drive()
     drive.pull(1)
     drive.pull(2)
@@ -144,7 +148,7 @@
     drive.check("spill")
 
 
-def test_a_failed_source_is_passed_over() -> None:
+def test_a_failed_source_is_not_used_for_fills() -> None:
     drive = Drive()
     drive.pull(1)
     drive.lack(1)
@@ -164,7 +168,7 @@
     drive.check("fills")
 
 
-def test_every_pull_is_answered_where_nothing_is_listed() -> None:
+def test_every_pull_is_answered_if_the_cache_list_is_empty() -> None:
     drive = Drive(replace(SETTINGS, workloads=SETTINGS.workloads[:1]), caches=())
     drive.pull(1)
     drive.pull(2, workload=9)
@@ -173,7 +177,7 @@
     drive.check("nothing")
 
 
-def test_a_parent_that_sends_slowly_over_an_empty_link_is_passed_over() -> None:
+def test_a_parent_that_sends_slowly_over_an_empty_link_is_not_used() -> None:
     drive = Drive()
     drive.front.link_utilization = 0.3
     for number in range(1, 4):
@@ -194,7 +198,7 @@
     drive.check("long_wait")
 
 
-def test_a_cache_that_took_no_connections_is_cold_when_it_is_back() -> None:
+def test_a_cache_that_refused_connections_is_in_slow_start_when_it_is_back() -> None:
     drive = Drive(caches=(11, 21, ORIGIN))
     drive.pull(1)
     drive.end(1, i.Outcome.CONNECT_FAILED, i.Remark.NONE, after=1.0)
@@ -206,16 +210,16 @@
     drive.check("back")
 
 
-def test_one_slow_hit_tells_that_others_fill_a_caches_link() -> None:
+def test_one_slow_hit_shows_that_other_fronts_use_a_caches_link() -> None:
     drive = Drive()
     drive.pull(1)
     drive.end(1, after=900.0)
     drive.pull(2)
-    drive.pull(3, after=20000.0)  # what was seen has worn off
+    drive.pull(3, after=20000.0)  # the observed slowdown has decayed
     drive.check("crowd")
 
 
-def test_with_many_fronts_a_link_told_full_gets_no_fill_and_neighbours_are_looked_at() -> None:
+def test_with_many_fronts_a_link_reported_full_gets_no_fill_and_other_caches_are_looked_up() -> None:
     drive = Drive(replace(SETTINGS, fronts_by_zone=(0, 8, 1)))
     drive.pull(1)
     drive.lack(1, load=(12.0,))
@@ -241,20 +245,20 @@
     drive.check("weights")
 
 
-def test_a_slow_fetch_behind_a_quick_parent_is_the_origins() -> None:
+def test_a_slow_fetch_through_a_quick_parent_counts_against_the_origin() -> None:
     drive = Drive()
     drive.front.link_utilization = 0.3
     drive.pull(1, wanted=1)
     drive.lack(1)
     drive.end(1, remark=i.Remark.FILLED_FROM_ORIGIN, after=1500.0)
-    for number, wanted in ((2, 1), (3, 2)):  # what parents hold is asked for still
+    for number, wanted in ((2, 1), (3, 2)):  # parents are still asked for what they hold
         drive.pull(number, wanted=wanted)
         drive.lack(number)
     drive.trace.append(f"crowd of the parent {drive.front.servers[22].limit.slowdown(drive.now):.1f}")
     drive.check("origins_link")
 
 
-def test_with_more_fronts_a_pull_bears_less_of_a_crowd() -> None:
+def test_with_more_fronts_a_pull_tolerates_less_slowdown() -> None:
     for name, fronts in (("few", 1), ("many", 16)):
         drive = Drive(replace(SETTINGS, fronts_by_zone=(0, fronts, 1)), caches=(11, *PARENTS, ORIGIN))
         drive.front.edges[0].limit.record_slowdown(5.0, drive.now)
@@ -263,12 +267,14 @@
         drive.check(f"margin_{name}")
 
 
-def test_odd_lists_and_counts_are_answered() -> None:
+def test_pulls_are_answered_with_unusual_lists_and_front_counts() -> None:
     for fronts, by_zone, zone in ((0, (0, 0, 0), 1), (0, (), 7), (3, (1,), 5)):
         settings = replace(SETTINGS, fronts=fronts, fronts_by_zone=by_zone, zone=zone, hub_of=())
-        drive, cold = Drive(settings, caches=()), line(11, ready_at=1000.0)
-        odd = [replace(cold, cache=100 + n, zone=n % 900, kind=n % 70) for n in range(3000)]
-        drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, (*odd, *odd, replace(cold, zone=zone))))
+        drive, started_late = Drive(settings, caches=()), line(11, ready_at=1000.0)
+        entries = [replace(started_late, cache=100 + n, zone=n % 900, kind=n % 70) for n in range(3000)]
+        drive.tell(
+            i.CacheListUpdate(i.ListUpdateKind.FULL, (*entries, *entries, replace(started_late, zone=zone)))
+        )
         for number in range(1, 4):
             drive.pull(number)
         drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, ()))
@@ -276,7 +282,7 @@
         drive.check(f"odd_{fronts}_{zone}")
 
 
-def test_what_caches_answer_with_errors_is_not_sent_round_all_of_them() -> None:
+def test_a_pull_that_two_caches_answer_with_errors_is_not_sent_to_all_of_them() -> None:
     drive = Drive()
     for number in range(1, 80):
         drive.pull(number, wanted=number)
@@ -288,33 +294,33 @@
     drive.check("errors")
 
 
-def test_a_break_beside_answers_is_no_illness_and_one_in_silence_is() -> None:
+def test_a_reset_beside_answers_does_not_eject_a_cache_and_one_without_does() -> None:
     drive = Drive(caches=(11, *PARENTS, ORIGIN))
     for number in (1, 2):
         drive.pull(number, wanted=5)
     drive.end(2)
-    drive.end(1, i.Outcome.RESET, i.Remark.NONE)  # the cache answered beside it
+    drive.end(1, i.Outcome.RESET, i.Remark.NONE)  # the cache answered another pull meanwhile
     drive.pull(3, wanted=5)
-    drive.end(3, i.Outcome.RESET, i.Remark.NONE)  # and now it does not
+    drive.end(3, i.Outcome.RESET, i.Remark.NONE)  # and this time it did not
     drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(12),)))
     drive.pull(4, wanted=5)
     drive.check("breaks")
 
 
-def test_a_front_that_is_late_itself_sheds_early_what_cannot_be_in_time() -> None:
+def test_a_front_with_event_loop_lag_sheds_early_what_cannot_be_in_time() -> None:
     drive = Drive()
-    for number, late in enumerate((0.0, 400.0, 0.0), 1):
-        drive.tell(i.LoopLagged(late))
+    for number, lag in enumerate((0.0, 400.0, 0.0), 1):
+        drive.tell(i.LoopLagged(lag))
         drive.pull(number)
     for _ in range(20):
-        drive.tell(i.LoopLagged(0.0), after=50.0)  # it wears off
+        drive.tell(i.LoopLagged(0.0), after=50.0)  # the lag decays
     drive.pull(4)
     drive.check("late")
 
 
-def test_a_struck_parent_is_not_asked_for_what_it_holds() -> None:
+def test_an_ejected_parent_is_not_asked_for_what_it_holds() -> None:
     drive = Drive(caches=(11, *PARENTS, ORIGIN))
-    drive.front.usual_origin_wait = 1e6  # the origin is slow: parents give what they hold
+    drive.front.usual_origin_wait = 1e6  # the origin is slow, so parents are asked for what they hold
     drive.pull(1)
     drive.lack(1)
     drive.end(1, i.Outcome.MISS, i.Remark.SOURCE_BROKE)
@@ -323,22 +329,22 @@
     drive.check("struck_parent")
 
 
-def test_a_look_times_out_sooner_than_the_fill_after_it() -> None:
+def test_a_lookup_times_out_sooner_than_the_fill_after_it() -> None:
     drive = Drive()
     drive.pull(1)
     look = drive.last[1].timeout
     drive.lack(1)
-    assert drive.last[1].timeout >= look + 300.0  # it waits for no source
+    assert drive.last[1].timeout >= look + 300.0  # a lookup does not wait for a source
 
 
-def test_a_cache_that_errs_while_others_do_not_is_passed_over() -> None:
+def test_a_cache_that_returns_errors_while_others_do_not_is_ejected() -> None:
     drive = Drive()
     for number in range(1, 20):
         drive.pull(number, wanted=number)
-        ill = drive.last[number].cache == 12
-        outcome = i.Outcome.ERROR if ill else i.Outcome.OK
-        drive.end(number, outcome, i.Remark.NONE if ill else i.Remark.HIT, after=20.0)
-        if ill and drive.last[number].cache != 12:
+        is_faulty = drive.last[number].cache == 12
+        outcome = i.Outcome.ERROR if is_faulty else i.Outcome.OK
+        drive.end(number, outcome, i.Remark.NONE if is_faulty else i.Remark.HIT, after=20.0)
+        if is_faulty and drive.last[number].cache != 12:
             drive.end(number, after=20.0)
     drive.check("erring")
 
@@ -346,26 +352,26 @@
 def test_a_pull_in_a_large_zone_compares_caches_no_more_often_than_there_are(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    compared = [0]
+    comparisons = [0]
 
-    def equal(one: Server, other: object) -> bool:
-        compared[0] += 1
+    def count_equal(one: Server, other: object) -> bool:
+        comparisons[0] += 1
         return one is other
 
     drive = Drive(caches=())
-    monkeypatch.setattr(Server, "__eq__", equal)
+    monkeypatch.setattr(Server, "__eq__", count_equal)
     monkeypatch.setattr(Server, "__hash__", object.__hash__)
-    entries = [replace(line(12), cache=100 + place) for place in range(400)]
+    entries = [replace(line(12), cache=100 + index) for index in range(400)]
     drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, tuple(entries)))
-    compared[0] = 0
+    comparisons[0] = 0
     drive.pull(1)
     drive.end(1)
-    assert compared[0] <= 400
+    assert comparisons[0] <= 400
 
 
-def test_where_nothing_is_told_the_wait_of_short_answers_is_not_laid_to_the_link() -> None:
+def test_without_reports_the_wait_of_short_answers_does_not_count_against_the_link() -> None:
     drive = Drive()
-    for number in range(1, 9):  # 10 ms of sending each, filled after the source's 180 ms
+    for number in range(1, 9):  # 10 ms to send each, after a fill of 180 ms at the source
         drive.tell(i.Pull(number, number + 10, 0, 0, 2000.0, False, 50.0, 3), 10.0)
         drive.lack(number)
         drive.end(number, remark=i.Remark.NONE, after=190.0)
@@ -375,7 +381,7 @@
     drive.check("untold_wait")
 
 
-def test_where_nothing_is_told_a_look_that_finds_a_copy_is_a_hit() -> None:
+def test_without_reports_a_lookup_that_finds_a_copy_is_a_hit() -> None:
     drive = Drive(caches=(12, *PARENTS, ORIGIN))
     edge = drive.front.edges[0]
     for number in range(1, 40):
@@ -384,10 +390,10 @@
             drive.lack(number)
         drive.end(number, remark=i.Remark.NONE)
         edge.eviction_rate = 0.2 if number == 1 else edge.eviction_rate
-    assert edge.eviction_rate < 0.1  # it keeps what it was given
+    assert edge.eviction_rate < 0.1  # it keeps the copies that it was given
 
 
-def test_the_silence_of_a_source_is_not_laid_to_a_link_whose_fullness_is_not_told() -> None:
+def test_without_reports_the_time_out_of_a_source_does_not_count_against_the_link() -> None:
     drive = Drive()
     drive.tell(i.Pull(1, 9, 0, 0, 2000.0, False, 50.0, 3), 10.0)
     drive.lack(1)
@@ -398,26 +404,28 @@
     drive.check("silent_link")
 
 
-@pytest.mark.parametrize(("took", "haste"), [(100.0, True), (320.0, False)])
-def test_a_cache_that_loses_answers_is_waited_for_less_long_and_one_that_is_slow_is_not(
-    took: float, haste: bool
+@pytest.mark.parametrize(("duration", "is_shorter"), [(100.0, True), (320.0, False)])
+def test_a_cache_that_loses_answers_gets_a_shorter_time_out_and_a_slow_one_does_not(
+    duration: float, is_shorter: bool
 ) -> None:
     drive = Drive(caches=(12, *PARENTS, ORIGIN))
-    for number in range(1, 17):  # of 100 ms of sending each; in the end every other answer is lost
+    # Each takes 100 ms to send; in the second half every other answer is lost.
+    for number in range(1, 17):
         drive.pull(number, after=4000.0)
         drive.pull(number + 20)
-        drive.end(number, after=took)
+        drive.end(number, after=duration)
         lost = number > 8 and number % 2
-        how = (i.Outcome.TIMEOUT, i.Remark.NONE) if lost else (i.Outcome.OK, i.Remark.HIT)
-        drive.end(number + 20, *how, after=200.0)
+        result = (i.Outcome.TIMEOUT, i.Remark.NONE) if lost else (i.Outcome.OK, i.Remark.HIT)
+        drive.end(number + 20, *result, after=200.0)
     drive.pull(50, after=8000.0)
     assert drive.last[50].cache == drive.last[50].source == 12
-    assert (drive.last[50].timeout < 400.0) is haste
+    assert (drive.last[50].timeout < 400.0) is is_shorter
 
 
-def test_a_source_slow_beside_a_quick_one_is_not_laid_to_the_link() -> None:
+def test_a_source_slower_than_another_does_not_count_against_the_link() -> None:
     drive = Drive()
-    for number in range(1, 17):  # 22 delivers at its pace; 21 is slow, and the last to end
+    # Parent 22 delivers at its normal pace; 21 is slow and ends last.
+    for number in range(1, 17):
         drive.pull(number, wanted=number, after=50.0)
         drive.lack(number)
         slow = drive.last[number].source == 21
@@ -430,13 +438,13 @@
     drive.check("slow_source")
 
 
-def test_fills_turned_away_where_nothing_is_told_are_their_sources_and_then_the_origins() -> None:
+def test_without_reports_a_rejected_fill_counts_against_its_source_and_then_the_origin() -> None:
     drive = Drive()
     drive.pull(1)
     drive.lack(1)
     first = drive.last[1]
     drive.end(1, i.Outcome.FULL, i.Remark.NONE, after=20.0)
-    again = drive.last[1]
-    assert again.cache == first.cache and again.source not in (first.source, first.cache)
-    drive.end(1, i.Outcome.FULL, i.Remark.NONE, after=20.0)  # now it is spurned: nothing fills it
+    second = drive.last[1]
+    assert second.cache == first.cache and second.source not in (first.source, first.cache)
+    drive.end(1, i.Outcome.FULL, i.Remark.NONE, after=20.0)  # the origin has now rejected it
     drive.check("untold_full")
