--- a/cometseam/interface.py
+++ b/cometseam/interface.py
@@ -233,7 +233,10 @@
 
 @dataclass(slots=True)
 class Pull:
-    """A client requests one part of an object; the front must give one final answer."""
+    """A client requests one part of an object; the front must give one final answer.
+
+    `time_left` (ms) ends at the client's deadline.
+    """
 
     id: int
     object: int
@@ -243,7 +246,7 @@
     is_write: bool
     size_kb: float
     group: int
-    # index in the last `Plans`; -1: none
+    # Index in the last `Plans`; -1: none.
     plan_index: int = -1
     network_index: int = -1
     client_network: int = 0  # the client's network, for fairness while shedding
@@ -258,7 +261,12 @@
 
 @dataclass(slots=True)
 class RelayEnded:
-    """A relay has ended."""
+    """A relay has ended.
+
+    `relay` is its number within the pull, from 0. `duration` and the part of it that a cache `waited` for a
+    source are in ms. `closed`: the pull needs no answer any more. `load` holds the cache's load report, or
+    nothing.
+    """
 
     id: int
     relay: int
@@ -370,7 +378,12 @@
 
 @dataclass(slots=True)
 class Relay:
-    """Ask `cache` for the copy; without one it fills from `source` (`cache` itself: it does not fill)."""
+    """Ask `cache` for the copy; without one it fills from `source` (`cache` itself: it does not fill).
+
+    `rank`: how valuable the copy is to keep; 0: it is not kept. `join_fill`: the relay may wait for a fill
+    that is under way. `only_cached`: the source answers only from its own copy. `timeout` and `max_age` of an
+    accepted copy are in ms; `max_age` 0: no bound of its own.
+    """
 
     id: int
     cache: int
@@ -387,7 +400,7 @@
 
 @dataclass(slots=True)
 class Shed:
-    """Final answer: not done, and a retry is harmless."""
+    """Final answer: not done, and a retry is harmless, after `retry_after` ms (0: not stated)."""
 
     id: int
     retry_after: float
--- a/cometseam/logic.py
+++ b/cometseam/logic.py
@@ -86,7 +86,8 @@
 SLOWDOWN_DECAY_MS = 3000.0
 # Safety margin, as a share of the slowdown above 1, that is added where very many fronts share a zone.
 MANY_FRONTS_MARGIN = 0.6
-# Share of a limit up to which a server counts as idle: a pull may miss its target latency there.
+# A limit counts as idle while this share of it is in flight and its slowdown is above 1 by no more than this;
+# there a pull may miss its target latency.
 IDLE_SHARE = 0.5
 # Share of kept copies found gone up to which a cache has spare room.
 SPARE_EVICTION_RATE = 0.1
@@ -227,7 +228,7 @@
         self.relay_count = self.failures = self.errors = self.rank = 0
         self.in_flight, self.unanswered = False, True
         self.hash_order: list[Server] = []  # the zone's caches in the hash order of its part
-        self.rejected_by: list[Server] = []  # caches that rejected it or its fill, erred or were hedged
+        self.rejected_by: list[Server] = []  # caches that rejected it, erred or were given up in a hedge
         self.missed_by: Server | None = None  # the cache that answered a lookup with a miss
         # Servers that hold no copy; with True, not even a stale one.
         self.known_misses: list[tuple[Server, bool]] = []
@@ -532,7 +533,7 @@
                 if ended is not None:
                     break
             if ended is None or not pending.unanswered or self.now + pending.sending_time > pending.deadline:
-                # no relay could end in time: answer the client at once
+                # No relay could end in time any more: answer the client at once.
                 return
 
     def _advance(self, pending: PendingPull, ended: RelayEnded | None) -> None:
@@ -842,7 +843,7 @@
         """
         pending = self.pending.get(timer_id >> TIMER_SUFFIX_BITS)
         if pending is None:
-            # timer 0: ask for the list again
+            # Timer 0 asks for the list again.
             self.actions += [Watch()] if timer_id == 0 else []
         elif (
             pending.awaiting_retry is not None
@@ -916,11 +917,14 @@
         whole_budget = (
             SLOW_START_BUDGET_SHARE * overload_factor * share * server.weight * settings.overload_window
         )
-        # the rest may be leased to other fronts
+        # The rest of the budget may be leased to other fronts.
         return whole_budget * server.slow_start_share.share_at(self.now)
 
     def _fits_slow_start_budget(self, server: Server, work: float) -> bool:
-        """Return whether a server's slow-start budget has room for more work (ms of sending time)."""
+        """Return whether a server's slow-start budget has room for more work (ms of sending time).
+
+        A send that does not fit counts towards this front's demand for a larger share of the budget.
+        """
         while server.sent_work and server.sent_work[0][0] <= self.now - self.settings.overload_window:
             server.sent_work.popleft()
         budget = self.slow_start_budget(server)
@@ -994,7 +998,7 @@
                 pending.plan, pending.failures, event.outcome
             )
             if not may_go_on or wait + self.now > pending.deadline:
-                # give up and answer at once
+                # Give up: with the sequence closed, the final answer follows at once.
                 pending.sequence.close()
             elif wait > 0.0:
                 pending.awaiting_retry = event
@@ -1056,8 +1060,8 @@
         pending.origin_rejected = pending.origin_rejected or remark is Remark.ORIGIN_FAILED
         pending.failures += outcome is not Outcome.OK and not lookup_missed
         if source is target and outcome in (Outcome.OK, Outcome.MISS, Outcome.TIMEOUT):
-            # A slow cache times out as well, but its answers are slow too, and more so for longer transfers:
-            # a time-out beside quick answers is a lost one.
+            # A slow cache times out as well, but its answers are slow too, which long transfers show best. So
+            # a time-out beside quick answers is a lost answer.
             if outcome is Outcome.OK:
                 observed = max((event.duration - TRANSFER_ALLOWANCE_MS) / max(pending.sending_time, 1.0), 1.0)
                 target.slowdown += (
@@ -1181,7 +1185,7 @@
         elif outcome in (Outcome.RESET, Outcome.TIMEOUT):
             # A server that vanished answers nothing; a broken connection beside other answers is no sign of
             # that. A slow origin or link delays all sources, so a source is at fault only if another one
-            # delivered meanwhile (unless that was one long answer).
+            # delivered meanwhile (unless it is busy with one long answer).
             if outcome is Outcome.TIMEOUT:
                 target.limit.adjust(False, self.now)
             if target.answered_at < pending.sent_at:
