--- a/cometseam/mailbox.py
+++ b/cometseam/mailbox.py
@@ -8,7 +8,7 @@
 import anyio
 
 Message = TypeVar("Message")
-ASK_AGAIN = 5.0  # ms
+WAIT_RECHECK_INTERVAL_MS = 5.0  # ms
 
 
 class Mailbox(Generic[Message]):
@@ -17,43 +17,43 @@
     def __init__(self, max_messages: int) -> None:
         self.max_messages = max_messages
         self._urgent: deque[Message] = deque()
-        self._plain: deque[Message] = deque()
-        self._filled = anyio.Event()
+        self._normal: deque[Message] = deque()
+        self._message_added = anyio.Event()
 
     def __len__(self) -> int:
-        return len(self._urgent) + len(self._plain)
+        return len(self._urgent) + len(self._normal)
 
     def __iter__(self) -> Iterator[Message]:
-        return chain(self._urgent, self._plain)
+        return chain(self._urgent, self._normal)
 
     def offer(self, message: Message) -> bool:
         """Put a message in, if there is room."""
-        if len(self._plain) >= self.max_messages:
+        if len(self._normal) >= self.max_messages:
             return False
-        self._plain.append(message)
-        self._filled.set()
+        self._normal.append(message)
+        self._message_added.set()
         return True
 
     def push(self, message: Message) -> None:
         """Put a message in whether there is room or not. Its sender bounds how many there can be."""
-        self._plain.append(message)
-        self._filled.set()
+        self._normal.append(message)
+        self._message_added.set()
 
     def put_urgent(self, message: Message) -> None:
         """Put a message before all plain ones. Its sender bounds how many there can be."""
         self._urgent.append(message)
-        self._filled.set()
+        self._message_added.set()
 
     def remove(self, is_wanted: Callable[[Message], bool]) -> list[Message]:
         """Take out plain messages, wherever they stand."""
         removed: list[Message] = []
         kept: deque[Message] = deque()
-        for message in self._plain:
+        for message in self._normal:
             (removed if is_wanted(message) else kept).append(message)
-        self._plain = kept
+        self._normal = kept
         return removed
 
-    async def take(self, plain_wait: Callable[[], float] = lambda: 0.0) -> Message:
+    async def take(self, normal_wait: Callable[[], float] = lambda: 0.0) -> Message:
         """Take the next message; wait while there is none.
 
         Args:
@@ -62,9 +62,9 @@
         while True:
             if self._urgent:
                 return self._urgent.popleft()
-            wait = plain_wait() if self._plain else float("inf")
+            wait = normal_wait() if self._normal else float("inf")
             if not wait:
-                return self._plain.popleft()
-            self._filled = anyio.Event()
-            with anyio.move_on_after(min(wait, ASK_AGAIN) / 1000.0 if self._plain else None):
-                await self._filled.wait()
+                return self._normal.popleft()
+            self._message_added = anyio.Event()
+            with anyio.move_on_after(min(wait, WAIT_RECHECK_INTERVAL_MS) / 1000.0 if self._normal else None):
+                await self._message_added.wait()
--- a/cometseam/routing/actor.py
+++ b/cometseam/routing/actor.py
@@ -46,8 +46,10 @@
 # ms after which a pull's client is looked at itself before anything is sent for the pull: nothing is sent on
 # later than 100 ms after its client has left, and what tells of that may lie unread while the front is late.
 CLIENT_CHECK_AFTER_MS = 50.0
-HELD_SHARE = 0.4  # of a request's time that it may wait for discovery: given up later, it is of less use
-REMEMBERED = 256  # endpoints that drain or are gone, with the time of that, for the log
+MAX_HELD_TIME_SHARE = (
+    0.4  # of a request's time that it may wait for discovery: given up later, it is of less use
+)
+MAX_REMEMBERED_ENDPOINTS = 256  # endpoints that drain or are gone, with the time of that, for the log
 
 
 @dataclass(slots=True, eq=False)
@@ -57,7 +59,7 @@
     number: int
     client: Client
     stream: int
-    order: PullRequest
+    request: PullRequest
     event: i.Pull
     deadline: float
     received_at: float
@@ -76,11 +78,11 @@
     peer: Peer | None
 
 
-def _has_waited(message: Message, now: float) -> bool:
+def _has_waited_too_long(message: Message, now: float) -> bool:
     """Tell whether a request that is held is to wait no longer."""
     return (
         isinstance(message, RequestReceived)
-        and now - message.received_at >= HELD_SHARE * message.order.time_left
+        and now - message.received_at >= MAX_HELD_TIME_SHARE * message.request.time_left
     )
 
 
@@ -88,41 +90,49 @@
     """The actor round one `Front`."""
 
     def __init__(
-        self, front: Front, names: NameTables, most_open: int, around: ProcessResources, seed: int = 0,
+        self, front: Front, names: NameTables, max_open: int, resources: ProcessResources, seed: int = 0,
         tracer: Tracer | None = None,
     ) -> None:  # fmt: skip
         self._seed = seed  # of what is drawn beside the module: how much later than others levels change
         self._levels: LevelManager | None = None
-        self._front, self._names, self._around = front, names, around
-        self._workloads = {name: place for place, name in enumerate(names.workloads)}
-        self._roster = translate.EndpointTable()
+        self._front, self._names, self._resources = front, names, resources
+        self._workloads = {name: index for index, name in enumerate(names.workloads)}
+        self._endpoints = translate.EndpointTable()
         self._peers: dict[int, Peer] = {}  # by cache; one leaves when its cache has gone or moved
-        self._mailbox: Mailbox[Message] = Mailbox(most_open)
-        self._most_open = most_open
+        self._mailbox: Mailbox[Message] = Mailbox(max_open)
+        self._max_open = max_open
         self._open: dict[int, OpenPull] = {}
-        self._by_stream: dict[tuple[Client, int], OpenPull] = {}  # a pull leaves when it is no longer owed
-        self._ids: set[str] = set()  # of the pulls in `_open`
-        self._last = 0
-        self._events: deque[i.Event] = deque()  # what is still to be handed to the module
+        self._pulls_by_stream: dict[
+            tuple[Client, int], OpenPull
+        ] = {}  # a pull leaves when it is no longer owed
+        self._request_ids: set[str] = set()  # of the pulls in `_open`
+        self._last_number = 0
+        self._pending_events: deque[i.Event] = deque()  # what is still to be handed to the module
         self._tasks: TaskGroup | None = None
-        self._table: RouteTable | None = None  # of the operator's routes; pulls that are open keep their plan
-        self._listed = False
+        self._route_table: RouteTable | None = (
+            None  # of the operator's routes; pulls that are open keep their plan
+        )
+        self._has_list = False
         # Takes in what lies unread, see `apply_changes`.
         self.read_discovery: Callable[[], None] = lambda: None
         # Told of each attempt that is written; for how long (ms) discovery has not confirmed the list, if so.
         self.on_attempt_written: Callable[[], float | None] = lambda: None
-        self._told_at: dict[int, float] = {}  # by cache that drains or is gone: when that was taken in
+        self._not_ready_since: dict[
+            int, float
+        ] = {}  # by cache that drains or is gone: when that was taken in
         self.draining = self._closing = False
         self._tracer = tracer if tracer is not None and tracer.mode is not TraceMode.OFF else None
-        self._quoted = (
-            [each.target_latency for each in front.settings.workloads] if self._tracer is not None else []
+        self._target_latencies = (
+            [workload.target_latency for workload in front.settings.workloads]
+            if self._tracer is not None
+            else []
         )
 
     # What others tell it
 
     def is_ready(self) -> bool:
         """Tell whether it can serve."""
-        return self._listed and not self.draining and not self._around.confirmation_wait()
+        return self._has_list and not self.draining and not self._resources.confirmation_wait()
 
     @property
     def pending_count(self) -> int:
@@ -136,13 +146,15 @@
             isinstance(message, RequestReceived) for message in self._mailbox
         )
 
-    def submit_pull(self, client: Client, stream: int, order: PullRequest) -> bool:
+    def submit_pull(self, client: Client, stream: int, request: PullRequest) -> bool:
         """Take a pull in, unless as many are open as it may hold, or the front is about to end."""
-        if self._closing or self.pending_count >= self._most_open:
+        if self._closing or self.pending_count >= self._max_open:
             COUNTERS.add("pull.no_room")
             return False
         # Its client counts from when it sent it: what lay there while the process stood still may be as old.
-        return self._mailbox.offer(RequestReceived(client, stream, order, self._around.earliest_arrival()))
+        return self._mailbox.offer(
+            RequestReceived(client, stream, request, self._resources.earliest_arrival())
+        )
 
     def hang_up(self, client: Client, stream: int) -> None:
         """A client no longer waits; its pull, if it was not handled yet, comes first."""
@@ -155,76 +167,76 @@
         """
         for change in changes:
             try:
-                self._change(change, is_live)
+                self._apply_change(change, is_live)
             except Exception as error:  # the events behind it count all the same
                 COUNTERS.add("routing.exception")
                 log_event("actor.failed", error, kind=type(change).__name__)
 
-    def record_loop_lag(self, by: float) -> None:
+    def record_loop_lag(self, lag: float) -> None:
         """The front comes so much later to what is due."""
-        self._around.record_loop_lag(by)
-        self._mailbox.put_urgent(i.LoopLagged(by))  # told a few times a second
+        self._resources.record_loop_lag(lag)
+        self._mailbox.put_urgent(i.LoopLagged(lag))  # told a few times a second
 
     def update_plans(self, compiled: CompiledConfig) -> None:
         """Have pulls that are taken from now on go by other plans."""
         self._mailbox.put_urgent(PlansUpdated(compiled))  # one a reload
 
-    def apply_verdict(self, cache: str, bad: bool, rest: float, age: float) -> None:
+    def apply_verdict(self, cache: str, bad: bool, ttl: float, age: float) -> None:
         """Take in a verdict of the fleet on a cache; one on a cache that is not listed is passed over."""
         # As many as there are caches, a few a minute.
-        self._mailbox.put_urgent(CacheHealthVerdict(cache, bad, rest, age))
+        self._mailbox.put_urgent(CacheHealthVerdict(cache, bad, ttl, age))
 
-    def apply_capacity_lease(self, group: str, cache: str, part: float, lasts: float) -> None:
+    def apply_capacity_lease(self, group: str, cache: str, share: float, ttl: float) -> None:
         """Take in this front's part of a limit: of what a cold cache bears from all fronts, of relays out
         there, or (`cache` is then its name) of what a budget of further relays allows the fleet."""
         # As many as there are cold caches, or capped ones, and such budgets, each refresh.
         if group.startswith("retries:"):
-            self._mailbox.put_urgent(i.RetryBudgetShare(cache, part, lasts))
+            self._mailbox.put_urgent(i.RetryBudgetShare(cache, share, ttl))
         else:
-            self._mailbox.put_urgent(CacheCapacityLease(cache, part, lasts, group.endswith(":relays")))
+            self._mailbox.put_urgent(CacheCapacityLease(cache, share, ttl, group.endswith(":relays")))
 
-    def set_concurrency_cap(self, caches: float, parents: float) -> None:
+    def set_concurrency_cap(self, per_cache: float, per_parent: float) -> None:
         """Have the fleet's relays out at one cache, and at one parent, held to so many; 0: any."""
-        self._mailbox.put_urgent(i.ConcurrencyCap(caches, parents))  # once
+        self._mailbox.put_urgent(i.ConcurrencyCap(per_cache, per_parent))  # once
 
     def capacity_demands(self) -> dict[str, dict[str, float]]:
         """Return which part of each shared limit this front wishes for, by group of fronts and cache."""
         from cometseam.routing import capacity_demand  # only where limits are shared
 
-        now = self._around.clock.now()
-        found = capacity_demand.retry_demands(self._front.active_plans, now)
-        for what, wishes in (
+        now = self._resources.clock.now()
+        demands = capacity_demand.retry_demands(self._front.active_plans, now)
+        for suffix, read_demands in (
             ("", capacity_demand.slow_start_demands),
             (capacity_demand.RELAYS_SUFFIX, capacity_demand.relay_demands),
         ):
-            for cache, wish in wishes(self._front, now).items():
-                line = self._roster.get(cache)
-                if line is not None:
-                    group = capacity_demand.group_of(self._front, cache, self._names.zones) + what
-                    found.setdefault(group, {})[line.name] = wish
-        return found
+            for cache, demand in read_demands(self._front, now).items():
+                entry = self._endpoints.get(cache)
+                if entry is not None:
+                    group = capacity_demand.group_of(self._front, cache, self._names.zones) + suffix
+                    demands.setdefault(group, {})[entry.name] = demand
+        return demands
 
     def addresses(self) -> dict[str, tuple[str, int]]:
         """Return where the listed caches of this list are, by name: those that may be sent to."""
-        return self._roster.addresses()
+        return self._endpoints.addresses()
 
-    def _relevel(self, compiled: CompiledConfig) -> None:
+    def _update_levels(self, compiled: CompiledConfig) -> None:
         """Take other levels of reduced service over; the present one goes on by its name."""
         if compiled.level_policy is None:
             if self._levels is not None:
                 self._levels.disable()
                 self._levels = None
             return
-        both = zip(compiled.route_names, compiled.table.routes, strict=True)
-        routes = tuple((name, plan) for name, (plan, _) in both)
+        named_routes = zip(compiled.route_names, compiled.table.routes, strict=True)
+        routes = tuple((name, plan) for name, (plan, _) in named_routes)
         if self._levels is not None:
             self._levels.replace(compiled.level_policy, routes)
             return
         from cometseam.routing.levels import LevelManager  # with its histograms, only where there are levels
 
         self._levels = LevelManager(
-            compiled.level_policy, routes, self._front, self._names.workloads, self._around, self._decide,
-            lambda: len(self._open) / self._most_open, self._seed,
+            compiled.level_policy, routes, self._front, self._names.workloads, self._resources,
+            self._process_event, lambda: len(self._open) / self._max_open, self._seed,
         )  # fmt: skip
 
     async def close(self) -> None:
@@ -232,7 +244,7 @@
         if self._levels is not None:
             self._levels.save_level()
 
-    def _report(self, end: AttemptEnded) -> None:
+    def _enqueue_attempt_end(self, end: AttemptEnded) -> None:
         self._mailbox.put_urgent(end)  # as many as there are relays out, at most
 
     # The actor
@@ -255,85 +267,98 @@
 
         Those that have waited as long as they may are shed: another front may serve them in time.
         """
-        wait = self._around.unconfirmed_wait()
+        wait = self._resources.unconfirmed_wait()
         if wait:
-            now = self._around.clock.now()
-            for message in self._mailbox.remove(lambda message: _has_waited(message, now)):
+            now = self._resources.clock.now()
+            for message in self._mailbox.remove(lambda message: _has_waited_too_long(message, now)):
                 assert isinstance(message, RequestReceived)
                 COUNTERS.add("pull.shed_unconfirmed")
                 message.client.answer_shed(message.stream, wait)
-                message.order.frame.free()
+                message.request.frame.free()
         return wait
 
     def _handle(self, message: Message) -> None:
         match message:
             case RequestReceived():
-                self._taken(message)
+                self._open_pull(message)
             case AttemptEnded():
-                self._ended(message)
+                self._end_attempt(message)
             case ClientGone():
-                pull = self._by_stream.get((message.client, message.stream))
+                pull = self._pulls_by_stream.get((message.client, message.stream))
                 if pull is not None:
-                    self._hung_up(pull)
+                    self._disconnect_pull(pull)
             case i.TimerFired() | i.ConcurrencyCap() | i.RetryBudgetShare() | i.ShuttingDown():
-                self._decide(message)
+                self._process_event(message)
             case i.LoopLagged():
-                self._decide(message)
+                self._process_event(message)
                 if self._levels is not None:
                     self._levels.update(message.lag)
             case CacheHealthVerdict():
-                number = self._roster.number(message.cache)
+                number = self._endpoints.number(message.cache)
                 if number is None:  # it has left the list, or is not on this front's yet
                     COUNTERS.add("fleet.verdict.unlisted")
                     return
-                self._decide(i.HealthVerdict(number, message.bad, message.ttl, message.age))
+                self._process_event(i.HealthVerdict(number, message.bad, message.ttl, message.age))
             case CacheCapacityLease():
-                number = self._roster.number(message.cache)
+                number = self._endpoints.number(message.cache)
                 if number is not None:
-                    self._decide(i.CapacityLease(number, message.share, message.ttl, message.for_relays))
+                    self._process_event(
+                        i.CapacityLease(number, message.share, message.ttl, message.for_relays)
+                    )
             case PlansUpdated():
                 # Between two events: no pull sees half of the old routes and half of the new.
-                self._table = message.compiled.table
-                self._decide(message.compiled.plans)
-                self._relevel(message.compiled)
+                self._route_table = message.compiled.table
+                self._process_event(message.compiled.plans)
+                self._update_levels(message.compiled)
 
-    def _taken(self, taken: RequestReceived) -> None:
-        order, now = taken.order, self._around.clock.now()
+    def _open_pull(self, message: RequestReceived) -> None:
+        request, now = message.request, self._resources.clock.now()
         # Guards the others against pulls withdrawn by the hundred.
-        if not self._awaits(taken.client, taken.stream, taken.received_at):
+        if not self._awaits(message.client, message.stream, message.received_at):
             COUNTERS.add("pull.withdrawn")
-            order.frame.free()
+            request.frame.free()
             return
-        workload = self._workloads.get(order.workload)
+        workload = self._workloads.get(request.workload)
         if workload is None:
-            taken.client.reject_input(taken.stream, "verb: unknown")
-            order.frame.free()
+            message.client.reject_input(message.stream, "verb: unknown")
+            request.frame.free()
             return
-        if order.id in self._ids:
-            taken.client.reject_input(taken.stream, "txn: open already")
-            order.frame.free()
+        if request.id in self._request_ids:
+            message.client.reject_input(message.stream, "txn: open already")
+            request.frame.free()
             return
-        self._last += 1
-        cut_off = taken.received_at + order.time_left
-        event = translate.pull_event(self._last, order, workload, cut_off - now)
-        if self._table is not None:
-            translate.assign_plan(event, self._table, taken.client.address)
-            event.client_network = translate.network_of(taken.client.address)
-        pull = OpenPull(self._last, taken.client, taken.stream, order, event, cut_off, taken.received_at)
+        self._last_number += 1
+        deadline = message.received_at + request.time_left
+        event = translate.pull_event(self._last_number, request, workload, deadline - now)
+        if self._route_table is not None:
+            translate.assign_plan(event, self._route_table, message.client.address)
+            event.client_network = translate.network_of(message.client.address)
+        pull = OpenPull(
+            self._last_number, message.client, message.stream, request, event, deadline, message.received_at
+        )
         self._open[pull.number] = pull
-        self._ids.add(order.id)
-        self._by_stream[taken.client, taken.stream] = pull
+        self._request_ids.add(request.id)
+        self._pulls_by_stream[message.client, message.stream] = pull
         COUNTERS.add("pull.taken")
         COUNTERS.record_max("pull.open", len(self._open))
         if self._tracer is not None:
-            quoted = self._quoted[workload] if workload < len(self._quoted) else cut_off - taken.received_at
+            target_latency = (
+                self._target_latencies[workload]
+                if workload < len(self._target_latencies)
+                else deadline - message.received_at
+            )
             self._tracer.start_trace(
-                pull.number, order.id, order.workload, taken.received_at, quoted, cut_off - taken.received_at
+                pull.number,
+                request.id,
+                request.workload,
+                message.received_at,
+                target_latency,
+                deadline - message.received_at,
             )
         # Guards the first rule against faults of this program: within the grace, whatever else happens.
-        due = cut_off + self._around.links.answer_grace
-        pull.timer = self._around.timers.call_at(due, lambda: self._overdue(pull))
-        self._decide(event)
+        overdue_at = deadline + self._resources.links.answer_grace
+        pull.timer = self._resources.timers.call_at(overdue_at, lambda: self._expire_pull(pull))
+        self._process_event(event)
 
     def _awaits(self, client: Client, stream: int, since: float) -> bool:
         """Tell whether a client still waits for a stream that it asked for at `since`.
@@ -341,51 +366,59 @@
         Asked just before a request is written, so what discovery has told is read here as well.
         """
         self.read_discovery()
-        if self._around.clock.now() - since > CLIENT_CHECK_AFTER_MS:
+        if self._resources.clock.now() - since > CLIENT_CHECK_AFTER_MS:
             client.withdraw_if_disconnected()
         return client.awaits(stream)
 
-    def _hung_up(self, pull: OpenPull) -> None:
+    def _disconnect_pull(self, pull: OpenPull) -> None:
         COUNTERS.add("pull.hung_up")
-        self._settle(pull, "hung_up")
-        self._decide(i.ClientDisconnected(pull.number))
+        self._settle_pull(pull, "hung_up")
+        self._process_event(i.ClientDisconnected(pull.number))
 
-    def _overdue(self, pull: OpenPull) -> None:
+    def _expire_pull(self, pull: OpenPull) -> None:
         if pull.unanswered:
-            self._settle(pull, "overdue")
+            self._settle_pull(pull, "overdue")
             pull.client.answer_errored(pull.stream)
             check_invariant(False, "an answer by the cut-off")
 
-    def _change(self, change: DiscoveryEvent, is_news: bool) -> None:
+    def _apply_change(self, change: DiscoveryEvent, is_live: bool) -> None:
         if isinstance(change, Purge):
             COUNTERS.add("changelog.purges")
-            self._decide(translate.purge_event(change, self._around.clock.now(), is_news))
+            self._process_event(translate.purge_event(change, self._resources.clock.now(), is_live))
             wanted, group = change.object, change.group
-            self._reconsider(
+            self._withdraw_unsent(
                 lambda pull, _: pull.event.object == wanted if wanted else pull.event.group == group
             )
         elif isinstance(change, EndpointList):
-            had = self._roster.starts()
-            members = self._roster.apply_listing(change, self._around.clock.now(), is_news)
-            now = self._roster.starts()
-            changed = {cache for cache in had if now.get(cache) != had[cache]}
-            self._around.peer_count = len(self._roster)
-            self._told_at = {cache: at for cache, at in self._told_at.items() if cache not in now}
-            self._told_at.update(dict.fromkeys(had.keys() - now.keys(), self._around.clock.now()))
-            while len(self._told_at) > REMEMBERED:
-                del self._told_at[next(iter(self._told_at))]
+            previous_starts = self._endpoints.starts()
+            update = self._endpoints.apply_listing(change, self._resources.clock.now(), is_live)
+            current_starts = self._endpoints.starts()
+            changed = {
+                cache for cache in previous_starts if current_starts.get(cache) != previous_starts[cache]
+            }
+            self._resources.peer_count = len(self._endpoints)
+            self._not_ready_since = {
+                cache: at for cache, at in self._not_ready_since.items() if cache not in current_starts
+            }
+            self._not_ready_since.update(
+                dict.fromkeys(previous_starts.keys() - current_starts.keys(), self._resources.clock.now())
+            )
+            while len(self._not_ready_since) > MAX_REMEMBERED_ENDPOINTS:
+                del self._not_ready_since[next(iter(self._not_ready_since))]
             for cache, peer in list(self._peers.items()):
-                line = self._roster.get(cache)
-                if line is None or line.address != peer.address:
+                entry = self._endpoints.get(cache)
+                if entry is None or entry.address != peer.address:
                     del self._peers[cache]
-                    self._start(self._retire, peer)
-            first = not self._listed and change.is_snapshot
-            self._listed = True
-            self._decide(i.CacheListUpdate(i.ListUpdateKind.CACHED, members.entries) if first else members)
+                    self._start_task(self._stop_when_idle, peer)
+            is_first_list = not self._has_list and change.is_snapshot
+            self._has_list = True
+            self._process_event(
+                i.CacheListUpdate(i.ListUpdateKind.CACHED, update.entries) if is_first_list else update
+            )
             # What waits was decided for a cache that was ready, at that address, since that start.
-            self._reconsider(lambda _, relay: relay.cache in changed or relay.source in changed)
+            self._withdraw_unsent(lambda _, relay: relay.cache in changed or relay.source in changed)
 
-    def _reconsider(self, concerned: Callable[[OpenPull, i.Relay], bool]) -> None:
+    def _withdraw_unsent(self, is_affected: Callable[[OpenPull, i.Relay], bool]) -> None:
         """Take back relays not written yet: they were decided before a drain, a purge, a new start.
 
         They are marked in this turn: a connection may come up before the peer's actor has its next.
@@ -394,96 +427,98 @@
             if (
                 pull.in_flight is not None
                 and pull.in_flight.peer is not None
-                and concerned(pull, pull.in_flight.relay)
+                and is_affected(pull, pull.in_flight.relay)
             ):
                 pull.in_flight.attempt.wanted = False
                 pull.in_flight.peer.mailbox.push(GiveUp(pull.in_flight.attempt, if_unsent=True))
 
-    async def _retire(self, peer: Peer) -> None:
+    async def _stop_when_idle(self, peer: Peer) -> None:
         """Let what is out to a peer that is gone come to its end."""
         while not peer.is_idle:
-            await anyio.sleep(self._around.links.connect_timeout / 1000.0)
+            await anyio.sleep(self._resources.links.connect_timeout / 1000.0)
         peer.stop()
 
-    def _start(self, run: Callable[..., object], *arguments: object) -> None:
+    def _start_task(self, run: Callable[..., object], *arguments: object) -> None:
         assert self._tasks is not None
         self._tasks.start_soon(run, *arguments)  # type: ignore[arg-type]
 
     # Events and actions
 
-    def _decide(self, event: i.Event) -> None:
-        self._events.append(event)
-        while self._events:
-            event = self._events.popleft()
+    def _process_event(self, event: i.Event) -> None:
+        self._pending_events.append(event)
+        while self._pending_events:
+            event = self._pending_events.popleft()
             try:
-                for action in self._front.handle(self._around.clock.now(), event):
-                    self._act(action)
+                for action in self._front.handle(self._resources.clock.now(), event):
+                    self._perform(action)
             except Exception as error:
                 COUNTERS.add("module.exception")
                 log_event("module.failed", error, kind=type(event).__name__)
                 pull = self._open.get(getattr(event, "id", -1))
                 if pull is not None and pull.unanswered:
-                    self._settle(pull, "errored")
+                    self._settle_pull(pull, "errored")
                     pull.client.answer_errored(pull.stream)
 
-    def _act(self, action: i.Action) -> None:
+    def _perform(self, action: i.Action) -> None:
         match action:
             case i.Relay():
-                self._relay(action)
+                self._send_relay(action)
             case i.Shed() | i.Error():
                 pull = self._open.get(action.id)
                 if pull is None or not pull.unanswered:
                     return
-                self._settle(pull, "shed" if isinstance(action, i.Shed) else "errored")
+                self._settle_pull(pull, "shed" if isinstance(action, i.Shed) else "errored")
                 if isinstance(action, i.Shed):
-                    self._told(pull, "shed")
+                    self._record_answer(pull, "shed")
                     pull.client.answer_shed(pull.stream, action.retry_after)
                 else:
-                    self._told(pull, "errored")
+                    self._record_answer(pull, "errored")
                     pull.client.answer_errored(pull.stream)
             case i.Recall():
                 pull = self._open.get(action.id)
                 if pull is not None and pull.in_flight is not None and pull.in_flight.peer is not None:
                     pull.in_flight.peer.mailbox.push(GiveUp(pull.in_flight.attempt, action.if_unsent))
             case i.StartTimer():
-                rang = i.TimerFired(action.timer_id)
-                due = self._around.clock.now() + action.delay
-                self._around.timers.call_at(due, lambda: self._mailbox.put_urgent(rang))
+                fired = i.TimerFired(action.timer_id)
+                due_at = self._resources.clock.now() + action.delay
+                self._resources.timers.call_at(due_at, lambda: self._mailbox.put_urgent(fired))
             case i.Watch():
                 # The log is followed at all times; the call's one answer tells that nothing was missed.
-                self._events.append(i.CacheListUpdate(i.ListUpdateKind.CHANGES, ()))
+                self._pending_events.append(i.CacheListUpdate(i.ListUpdateKind.CHANGES, ()))
             case i.Probe():
-                self._events.append(i.ProbeEnded(action.cache, i.Outcome.NOT_SENT, ()))
+                self._pending_events.append(i.ProbeEnded(action.cache, i.Outcome.NOT_SENT, ()))
             case i.LogMessage():
                 log_event("module.says", text=action.text)
 
-    def _relay(self, relay: i.Relay) -> None:
+    def _send_relay(self, relay: i.Relay) -> None:
         pull = self._open[relay.id]
         check_invariant(
             pull.unanswered and pull.in_flight is None, "a relay for a pull that is owed and has none out"
         )
-        now = self._around.clock.now()
-        source = self._roster.get(relay.source) if relay.source != relay.cache else None
-        due = now + relay.timeout if relay.timeout else pull.deadline
-        command = translate.relay_command(relay, pull.order, source.name if source is not None else "")
-        ask = Attempt(pull.number, pull.relay_count, command, pull.order.body(), now, due)
-        ask.is_client_waiting = lambda: self._awaits(pull.client, pull.stream, pull.received_at)
-        ask.on_begin = lambda: self._audit(relay, pull.order.id)
+        now = self._resources.clock.now()
+        source = self._endpoints.get(relay.source) if relay.source != relay.cache else None
+        deadline = now + relay.timeout if relay.timeout else pull.deadline
+        command = translate.relay_command(relay, pull.request, source.name if source is not None else "")
+        attempt = Attempt(pull.number, pull.relay_count, command, pull.request.body(), now, deadline)
+        attempt.is_client_waiting = lambda: self._awaits(pull.client, pull.stream, pull.received_at)
+        attempt.on_begin = lambda: self._audit_attempt(relay, pull.request.id)
         if relay.write_within:
-            ask.begin_by = now + relay.write_within
-        peer = self._peer(relay.cache)
+            attempt.begin_by = now + relay.write_within
+        peer = self._peer_for(relay.cache)
         pull.relay_count += 1
-        pull.in_flight = InFlightRelay(relay, ask, peer)
+        pull.in_flight = InFlightRelay(relay, attempt, peer)
         COUNTERS.add("relay.sent")
         if self._tracer is not None:
-            line = self._roster.get(relay.cache)
-            named = line.name if line is not None else str(relay.cache)
-            self._tracer.record_relay(pull.number, now, named, source.name if source else "", relay.timeout)
-        if peer is None or not peer.mailbox.offer(ask):
+            entry = self._endpoints.get(relay.cache)
+            cache_name = entry.name if entry is not None else str(relay.cache)
+            self._tracer.record_relay(
+                pull.number, now, cache_name, source.name if source else "", relay.timeout
+            )
+        if peer is None or not peer.mailbox.offer(attempt):
             COUNTERS.add("relay.no_room")
-            self._report(AttemptEnded(ask, EndReason.UNSENT))
+            self._enqueue_attempt_end(AttemptEnded(attempt, EndReason.UNSENT))
 
-    def _audit(self, relay: i.Relay, request: str) -> None:
+    def _audit_attempt(self, relay: i.Relay, request_id: str) -> None:
         """Log a request written by a list that discovery has not confirmed, or against what is known.
 
         The latter goes to an endpoint that drains or is gone, or names one as its source.
@@ -491,30 +526,32 @@
         unconfirmed_for = self.on_attempt_written()
         if unconfirmed_for is not None:
             COUNTERS.add("attempt.unconfirmed")
-            endpoint = self._named(relay.cache)
-            log_event("attempt.unconfirmed", request=request, endpoint=endpoint, lasted=unconfirmed_for)
-        late = [cache for cache in (relay.cache, relay.source) if not self._roster.is_ready(cache)]
-        if late:
+            endpoint = self._endpoint_name(relay.cache)
+            log_event("attempt.unconfirmed", request=request_id, endpoint=endpoint, lasted=unconfirmed_for)
+        not_ready = [cache for cache in (relay.cache, relay.source) if not self._endpoints.is_ready(cache)]
+        if not_ready:
             COUNTERS.add("attempt.after_drain")
-            now = self._around.clock.now()
-            after = max(now - self._told_at.get(cache, now) for cache in late)
-            log_event("attempt.after_drain", request=request, endpoint=self._named(relay.cache),
-                source=self._named(relay.source), after=after)  # fmt: skip
-
-    def _named(self, cache: int) -> str:
-        line = self._roster.get(cache)
-        return line.name if line is not None else f"{cache:016x}"
-
-    def _peer(self, cache: int) -> Peer | None:
-        peer, line = self._peers.get(cache), self._roster.get(cache)
-        if peer is None and line is not None:
-            most = self._around.links.max_streams * self._around.connections_per_peer
-            peer = Peer(line.name, line.address, self._around, self._report, Mailbox(most))
+            now = self._resources.clock.now()
+            known_for = max(now - self._not_ready_since.get(cache, now) for cache in not_ready)
+            log_event("attempt.after_drain", request=request_id, endpoint=self._endpoint_name(relay.cache),
+                source=self._endpoint_name(relay.source), after=known_for)  # fmt: skip
+
+    def _endpoint_name(self, cache: int) -> str:
+        entry = self._endpoints.get(cache)
+        return entry.name if entry is not None else f"{cache:016x}"
+
+    def _peer_for(self, cache: int) -> Peer | None:
+        peer, entry = self._peers.get(cache), self._endpoints.get(cache)
+        if peer is None and entry is not None:
+            max_messages = self._resources.links.max_streams * self._resources.connections_per_peer
+            peer = Peer(
+                entry.name, entry.address, self._resources, self._enqueue_attempt_end, Mailbox(max_messages)
+            )
             self._peers[cache] = peer
-            self._start(peer.run)
+            self._start_task(peer.run)
         return peer
 
-    def _ended(self, end: AttemptEnded) -> None:
+    def _end_attempt(self, end: AttemptEnded) -> None:
         answer, pull = end.answer, self._open.get(end.attempt.pull_number)
         check_invariant(pull is not None and pull.in_flight is not None, "an end of a relay that is out")
         kind = answer.word.lower() if answer is not None else end.reason
@@ -530,42 +567,44 @@
         if self._tracer is not None:
             self._trace_end(pull, cache, kind, answer)
         if answer is not None and answer.outcome is i.Outcome.OK and pull.unanswered:
-            self._settle(pull, "finished")
-            self._told(pull, "finished")
+            self._settle_pull(pull, "finished")
+            self._record_answer(pull, "finished")
             pull.client.answer_served(pull.stream, answer.is_not_modified, body)
         elif body is not None:
             body.free()
         if pull.unanswered and not pull.client.awaits(pull.stream):
             # It has left, and word of that is still behind other messages: nothing further is sent for it.
-            self._hung_up(pull)
+            self._disconnect_pull(pull)
         if not pull.unanswered:
-            self._settle(pull)
-        now = self._around.clock.now()
+            self._settle_pull(pull)
+        now = self._resources.clock.now()
         event = translate.ended_event(end, cache, now, not pull.unanswered, self._names.load_report_names)
         if self._levels is not None and event.load:
-            self._levels.record_link_report(event, self._roster.get(cache))
-        self._decide(event)
+            self._levels.record_link_report(event, self._endpoints.get(cache))
+        self._process_event(event)
 
-    def _told(self, pull: OpenPull, kind: str) -> None:
+    def _record_answer(self, pull: OpenPull, kind: str) -> None:
         if self._levels is not None:
             self._levels.record_answer(pull.event, pull.received_at, kind)
 
     def _trace_end(self, pull: OpenPull, cache: int, kind: str, answer: Answer | None) -> None:
         assert self._tracer is not None
-        line = self._roster.get(cache)
-        why = answer.remark.name.lower() if answer is not None and answer.remark is not i.Remark.NONE else ""
+        entry = self._endpoints.get(cache)
+        remark = (
+            answer.remark.name.lower() if answer is not None and answer.remark is not i.Remark.NONE else ""
+        )
         lag = f"{answer.waited:.0f}" if answer is not None and answer.waited else ""
-        now = self._around.clock.now()
+        now = self._resources.clock.now()
         self._tracer.record_relay_end(
-            pull.number, now, line.name if line is not None else str(cache), kind, why, lag
+            pull.number, now, entry.name if entry is not None else str(cache), kind, remark, lag
         )
 
-    def _settle(self, pull: OpenPull, kind: str = "settled") -> None:
+    def _settle_pull(self, pull: OpenPull, kind: str = "settled") -> None:
         """No answer is owed any more: every final answer passes here, just before it is written."""
         if pull.unanswered:
-            COUNTERS.record_max("answer_past_cut_off_ms", self._around.clock.now() - pull.deadline)
+            COUNTERS.record_max("answer_past_cut_off_ms", self._resources.clock.now() - pull.deadline)
             if self._tracer is not None:
-                self._tell(self._tracer.finish_trace(pull.number, self._around.clock.now(), kind))
+                self._log_trace(self._tracer.finish_trace(pull.number, self._resources.clock.now(), kind))
         pull.unanswered = False
         if pull.in_flight is not None:
             # Nothing is sent for a pull after its final answer, nor for a client that has left: what waits in
@@ -573,24 +612,24 @@
             pull.in_flight.attempt.wanted = False
         if pull.timer is not None:
             pull.timer.cancel()
-        self._by_stream.pop((pull.client, pull.stream), None)
+        self._pulls_by_stream.pop((pull.client, pull.stream), None)
         if pull.in_flight is None and self._open.pop(pull.number, None) is not None:
-            self._ids.discard(pull.order.id)
-            pull.order.frame.free()
+            self._request_ids.discard(pull.request.id)
+            pull.request.frame.free()
 
-    def _tell(self, told: FinishedTrace | None) -> None:
-        if told is None:
+    def _log_trace(self, trace: FinishedTrace | None) -> None:
+        if trace is None:
             return
         COUNTERS.add("trace.told")
         log_event(
             "pull.traced",
-            id=told.id,
-            workload=told.workload,
-            kind=told.kind,
-            took=told.duration,
-            quoted=told.target_latency,
-            late="late" if told.late else "in time",
-            steps=told.text(),
+            id=trace.id,
+            workload=trace.workload,
+            kind=trace.kind,
+            took=trace.duration,
+            quoted=trace.target_latency,
+            late="late" if trace.late else "in time",
+            steps=trace.text(),
         )
 
     def peer_end_counts(self) -> list[tuple[str, dict[str, int]]]:
--- a/cometseam/routing/messages.py
+++ b/cometseam/routing/messages.py
@@ -15,7 +15,7 @@
 
     client: Client
     stream: int
-    order: PullRequest
+    request: PullRequest
     received_at: float
 
 
@@ -54,7 +54,7 @@
     for_relays: bool
 
 
-Fleet = CacheHealthVerdict | CacheCapacityLease | i.ConcurrencyCap | i.RetryBudgetShare
+FleetMessage = CacheHealthVerdict | CacheCapacityLease | i.ConcurrencyCap | i.RetryBudgetShare
 Message = (
     RequestReceived
     | ClientGone
@@ -63,5 +63,5 @@
     | i.LoopLagged
     | i.ShuttingDown
     | PlansUpdated
-    | Fleet
+    | FleetMessage
 )
--- a/cometseam/routing/translate.py
+++ b/cometseam/routing/translate.py
@@ -10,7 +10,7 @@
 from cometseam.timing.table import IPV4_MAPPED_BASE
 from cometseam.transport.attempt import AttemptEnded, EndReason
 
-HOWS = {
+OUTCOMES_BY_END_REASON = {
     EndReason.UNSENT: i.Outcome.NOT_SENT,
     EndReason.UNCONNECTED: i.Outcome.CONNECT_FAILED,
     EndReason.BROKEN: i.Outcome.RESET,
@@ -25,68 +25,72 @@
 MAX_LIVE_EVENT_AGE_MS = 10_000.0
 
 
-def local_event_time(stamp: float, now: float, is_news: bool) -> float:
+def local_event_time(timestamp: float, now: float, is_live: bool) -> float:
     """Return when something happened, on the scale of `now`, from the Unix time (ms) that its event gives."""
-    return max(min(stamp, now), now - MAX_LIVE_EVENT_AGE_MS) if is_news else min(stamp, now)
+    return max(min(timestamp, now), now - MAX_LIVE_EVENT_AGE_MS) if is_live else min(timestamp, now)
 
 
 class EndpointTable:
     """The caches by number. It holds what the list holds: a cache that has gone leaves."""
 
     def __init__(self) -> None:
-        self._lines: dict[int, EndpointEntry] = {}
-        self._numbers: dict[str, int] = {}
-        self._started: dict[int, tuple[float, float]] = {}  # by number: its start's stamp, and the instant
+        self._entries: dict[int, EndpointEntry] = {}
+        self._numbers_by_name: dict[str, int] = {}
+        self._start_times: dict[
+            int, tuple[float, float]
+        ] = {}  # by number: its start's stamp, and the instant
 
     def __len__(self) -> int:
-        return len(self._lines)
+        return len(self._entries)
 
     def get(self, cache: int) -> EndpointEntry | None:
         """Return a cache's line."""
-        return self._lines.get(cache)
+        return self._entries.get(cache)
 
     def is_ready(self, cache: int) -> bool:
         """Tell whether the list has a cache as ready."""
-        line = self._lines.get(cache)
-        return line is not None and line.lifecycle is i.Lifecycle.READY
+        entry = self._entries.get(cache)
+        return entry is not None and entry.lifecycle is i.Lifecycle.READY
 
     def starts(self) -> dict[int, tuple[tuple[str, int], float]]:
         """Return the address and the last start of each cache that is ready, by number."""
         ready = i.Lifecycle.READY
-        lines = self._lines.items()
-        return {cache: (line.address, line.ready_at) for cache, line in lines if line.lifecycle is ready}
+        entries = self._entries.items()
+        return {
+            cache: (entry.address, entry.ready_at) for cache, entry in entries if entry.lifecycle is ready
+        }
 
     def number(self, name: str) -> int | None:
         """Return the number of a listed cache; None where it is not listed."""
-        return self._numbers.get(name)
+        return self._numbers_by_name.get(name)
 
     def addresses(self) -> dict[str, tuple[str, int]]:
         """Return the addresses of the caches that are ready, by name."""
         ready = i.Lifecycle.READY
-        return {line.name: line.address for line in self._lines.values() if line.lifecycle is ready}
+        return {entry.name: entry.address for entry in self._entries.values() if entry.lifecycle is ready}
 
-    def _number(self, name: str) -> int:
+    def _number_for(self, name: str) -> int:
         """Tell a cache's number: by its name alone, so that all fronts hash alike, also after a restart."""
         salt = 0
-        while name not in self._numbers:
+        while name not in self._numbers_by_name:
             digest = blake2b(name.encode(), digest_size=8, salt=salt.to_bytes(8, "big")).digest()
             number = int.from_bytes(digest, "big")
             salt += 1  # two names in 2^64 alike: the later one draws again
-            if number not in self._lines:
+            if number not in self._entries:
                 return number
-        return self._numbers[name]
+        return self._numbers_by_name[name]
 
-    def _start(self, number: int, stamp: float, now: float, is_news: bool) -> float:
+    def _start_time(self, number: int, timestamp: float, now: float, is_live: bool) -> float:
         """Return when a cache started (0: long ago); one start stays one instant, however often told."""
-        if stamp <= 0.0:
-            self._started.pop(number, None)
+        if timestamp <= 0.0:
+            self._start_times.pop(number, None)
             return 0.0
-        known = self._started.get(number)
-        if known is None or known[0] != stamp:
-            known = self._started[number] = (stamp, local_event_time(stamp, now, is_news))
-        return known[1]
+        known_start = self._start_times.get(number)
+        if known_start is None or known_start[0] != timestamp:
+            known_start = self._start_times[number] = (timestamp, local_event_time(timestamp, now, is_live))
+        return known_start[1]
 
-    def apply_listing(self, listing: EndpointList, now: float, is_news: bool = True) -> i.CacheListUpdate:
+    def apply_listing(self, listing: EndpointList, now: float, is_live: bool = True) -> i.CacheListUpdate:
         """Take in a list, or its changes.
 
         Args:
@@ -95,37 +99,41 @@
             is_news: it was told while the front ran, and is no list of the start.
         """
         if listing.is_snapshot:
-            self._lines.clear()
-            self._numbers.clear()
-        entries = []
-        for line in listing.entries:
-            number = self._number(line.name)
-            if line.lifecycle is i.Lifecycle.GONE:
-                self._lines.pop(number, None)
-                self._numbers.pop(line.name, None)
-                self._started.pop(number, None)
+            self._entries.clear()
+            self._numbers_by_name.clear()
+        cache_entries = []
+        for entry in listing.entries:
+            number = self._number_for(entry.name)
+            if entry.lifecycle is i.Lifecycle.GONE:
+                self._entries.pop(number, None)
+                self._numbers_by_name.pop(entry.name, None)
+                self._start_times.pop(number, None)
             else:
-                self._lines[number], self._numbers[line.name] = line, number
-            started = self._start(number, line.ready_at, now, is_news)
-            entries.append(
-                i.CacheEntry(number, line.lifecycle, started, line.cell, line.zone, line.kind, line.weight)
+                self._entries[number], self._numbers_by_name[entry.name] = entry, number
+            started_at = self._start_time(number, entry.ready_at, now, is_live)
+            cache_entries.append(
+                i.CacheEntry(
+                    number, entry.lifecycle, started_at, entry.cell, entry.zone, entry.kind, entry.weight
+                )
             )
         if listing.is_snapshot:
-            self._started = {each: at for each, at in self._started.items() if each in self._lines}
+            self._start_times = {
+                cache: start for cache, start in self._start_times.items() if cache in self._entries
+            }
         return i.CacheListUpdate(
-            i.ListUpdateKind.FULL if listing.is_snapshot else i.ListUpdateKind.CHANGES, tuple(entries)
+            i.ListUpdateKind.FULL if listing.is_snapshot else i.ListUpdateKind.CHANGES, tuple(cache_entries)
         )
 
 
-def purge_event(purge: Purge, now: float, is_news: bool = True) -> i.Purged:
+def purge_event(purge: Purge, now: float, is_live: bool = True) -> i.Purged:
     """Return a purge as an event."""
-    return i.Purged(purge.object, purge.group, now - local_event_time(purge.time, now, is_news))
+    return i.Purged(purge.object, purge.group, now - local_event_time(purge.time, now, is_live))
 
 
-def pull_event(number: int, order: PullRequest, workload: int, left: float) -> i.Pull:
+def pull_event(number: int, request: PullRequest, workload: int, time_left: float) -> i.Pull:
     """Return a client's order as an event."""
-    return i.Pull(number, int(order.object, 16), order.part, workload, left, False, order.size_kb,
-                  order.group)  # fmt: skip
+    return i.Pull(number, int(request.object, 16), request.part, workload, time_left, False, request.size_kb,
+                  request.group)  # fmt: skip
 
 
 def assign_plan(event: i.Pull, table: RouteTable, address: int) -> None:
@@ -143,38 +151,50 @@
 
 
 def ended_event(
-    end: AttemptEnded, cache: int, now: float, closed: bool, reports: tuple[str, ...]
+    end: AttemptEnded, cache: int, now: float, is_pull_closed: bool, load_names: tuple[str, ...]
 ) -> i.RelayEnded:
     """Return a relay's end as an event."""
-    ask, answer = end.attempt, end.answer
-    took = now - ask.queued_at
+    attempt, answer = end.attempt, end.answer
+    duration = now - attempt.queued_at
     if answer is None:
-        outcome = HOWS[end.reason]
+        outcome = OUTCOMES_BY_END_REASON[end.reason]
         return i.RelayEnded(
-            ask.pull_number, ask.relay_index, cache, outcome, i.Remark.NONE, took, 0.0, closed, ()
+            attempt.pull_number,
+            attempt.relay_index,
+            cache,
+            outcome,
+            i.Remark.NONE,
+            duration,
+            0.0,
+            is_pull_closed,
+            (),
         )
-    told = answer.load or {}
-    load = tuple(told[name] for name in reports) if all(name in told for name in reports) else ()
+    reported_load = answer.load or {}
+    load = (
+        tuple(reported_load[name] for name in load_names)
+        if all(name in reported_load for name in load_names)
+        else ()
+    )
     return i.RelayEnded(
-        ask.pull_number,
-        ask.relay_index,
+        attempt.pull_number,
+        attempt.relay_index,
         cache,
         answer.outcome,
         answer.remark,
-        took,
+        duration,
         answer.waited,
-        closed,
+        is_pull_closed,
         load,
     )
 
 
-def relay_command(relay: i.Relay, order: PullRequest, source: str) -> Command:
+def relay_command(relay: i.Relay, request: PullRequest, source: str) -> Command:
     """Return what is written for a relay."""
     return Command(
-        order.id,
-        order.workload,
-        order.object,
-        order.part,
+        request.id,
+        request.workload,
+        request.object,
+        request.part,
         source,
         relay.rank,
         relay.max_age,
@@ -182,6 +202,6 @@
         relay.only_cached,
         relay.parent_no_store,
         relay.renew,
-        order.held_tag,
-        order.idempotency_key,
+        request.held_tag,
+        request.idempotency_key,
     )
--- a/cometseam/tracing/tracer.py
+++ b/cometseam/tracing/tracer.py
@@ -40,14 +40,14 @@
 
 
 @dataclass(slots=True)
-class _Trail:
+class _OpenTrace:
     id: str
     workload: str
-    taken_at: float
-    quoted: float
-    cut_off: float  # ms from arrival
-    steps: list[TraceEvent] = field(default_factory=list)
-    more: int = 0
+    received_at: float
+    target_latency: float
+    deadline: float  # ms from arrival
+    events: list[TraceEvent] = field(default_factory=list)
+    omitted_events: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +66,8 @@
 
     def text(self) -> str:
         """The steps as one line: `at kind cache detail; …`."""
-        told = "; ".join(str(step) for step in self.events)
-        return f"{told}; {self.omitted_events} more" if self.omitted_events else told
+        listed_events = "; ".join(str(event) for event in self.events)
+        return f"{listed_events}; {self.omitted_events} more" if self.omitted_events else listed_events
 
 
 class Tracer:
@@ -79,78 +79,80 @@
         if per_second <= 0 or burst < 1 or max_open < 1:
             raise ValueError("per_second, burst and max_open must be positive")
         self.mode = mode
-        self._per_ms = per_second / 1000.0
+        self._tokens_per_ms = per_second / 1000.0
         self._burst = float(burst)
         self._tokens = float(burst)
-        self._filled_at: float | None = None
-        self._most_open = max_open
-        self._trails: dict[int, _Trail] = {}
+        self._refilled_at: float | None = None
+        self._max_open = max_open
+        self._open_traces: dict[int, _OpenTrace] = {}
         self.suppressed = 0  # trails that the budget kept back
         self.untraced = 0  # pulls that came while `max_open` were traced
 
     def __len__(self) -> int:
-        return len(self._trails)
+        return len(self._open_traces)
 
     def start_trace(
-        self, number: int, id: str, workload: str, at: float, quoted: float, cut_off: float
+        self, number: int, id: str, workload: str, at: float, target_latency: float, deadline: float
     ) -> None:
         """A pull came: `quoted` and `cut_off` in ms from now."""
         if self.mode is TraceMode.OFF:
             return
-        if len(self._trails) >= self._most_open:
+        if len(self._open_traces) >= self._max_open:
             self.untraced += 1
             return
-        self._trails[number] = _Trail(id, workload, at, quoted, cut_off)
+        self._open_traces[number] = _OpenTrace(id, workload, at, target_latency, deadline)
 
-    def _step(self, number: int, at: float, what: str, cache: str, detail: str) -> None:
-        trail = self._trails.get(number)
-        if trail is None:
+    def _add_event(self, number: int, at: float, kind: str, cache: str, detail: str) -> None:
+        trace = self._open_traces.get(number)
+        if trace is None:
             return
-        if len(trail.steps) >= MAX_EVENTS_PER_TRACE:
-            trail.more += 1
+        if len(trace.events) >= MAX_EVENTS_PER_TRACE:
+            trace.omitted_events += 1
             return
-        trail.steps.append(TraceEvent(round(at - trail.taken_at, 1), what, cache, detail))
+        trace.events.append(TraceEvent(round(at - trace.received_at, 1), kind, cache, detail))
 
-    def record_relay(self, number: int, at: float, cache: str, source: str, time_out: float) -> None:
+    def record_relay(self, number: int, at: float, cache: str, source: str, timeout: float) -> None:
         """A relay went out to `cache`, filled from `source` if another; `time_out` 0: the cut-off."""
         detail = f"from {source}" if source else ""
-        if time_out:
-            detail = f"{detail} within {time_out:.0f}".lstrip()
-        self._step(number, at, "relay", cache, detail)
+        if timeout:
+            detail = f"{detail} within {timeout:.0f}".lstrip()
+        self._add_event(number, at, "relay", cache, detail)
 
     def record_relay_end(
-        self, number: int, at: float, cache: str, how: str, why: str = "", lag: str = ""
+        self, number: int, at: float, cache: str, outcome: str, remark: str = "", lag: str = ""
     ) -> None:
         """A relay ended: `how` is the answer's word, or how it ended without one; `why`, `lag` as told."""
-        detail = " ".join(part for part in (how, why and f"why={why}", lag and f"lag={lag}") if part)
-        self._step(number, at, "end", cache, detail)
+        detail = " ".join(
+            part for part in (outcome, remark and f"why={remark}", lag and f"lag={lag}") if part
+        )
+        self._add_event(number, at, "end", cache, detail)
 
     def discard_trace(self, number: int) -> None:
         """Forget a pull without telling it."""
-        self._trails.pop(number, None)
+        self._open_traces.pop(number, None)
 
     def finish_trace(self, number: int, at: float, kind: str) -> FinishedTrace | None:
         """The pull's final answer: return its trail where it is to be told and the budget allows."""
-        trail = self._trails.pop(number, None)
-        if trail is None:
+        trace = self._open_traces.pop(number, None)
+        if trace is None:
             return None
-        took = at - trail.taken_at
-        late = took > trail.quoted
+        duration = at - trace.received_at
+        late = duration > trace.target_latency
         if self.mode is TraceMode.WRONG and kind == "finished" and not late:
             return None
-        if not self._spend(at):
+        if not self._take_token(at):
             self.suppressed += 1
             return None
-        steps, took = tuple(trail.steps), round(took, 1)
-        told = (trail.quoted, trail.cut_off, steps, trail.more)
-        return FinishedTrace(trail.id, trail.workload, kind, late, took, *told)
+        events, duration = tuple(trace.events), round(duration, 1)
+        remaining_fields = (trace.target_latency, trace.deadline, events, trace.omitted_events)
+        return FinishedTrace(trace.id, trace.workload, kind, late, duration, *remaining_fields)
 
-    def _spend(self, at: float) -> bool:
+    def _take_token(self, at: float) -> bool:
         """Take one line from the budget, refilled by the clock; a clock that goes back refills nothing."""
-        if self._filled_at is not None and at > self._filled_at:
-            self._tokens = min(self._burst, self._tokens + (at - self._filled_at) * self._per_ms)
-        if self._filled_at is None or at > self._filled_at:
-            self._filled_at = at
+        if self._refilled_at is not None and at > self._refilled_at:
+            self._tokens = min(self._burst, self._tokens + (at - self._refilled_at) * self._tokens_per_ms)
+        if self._refilled_at is None or at > self._refilled_at:
+            self._refilled_at = at
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -117,7 +117,7 @@
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(actor.run)
-            tasks.start_soon(actor._around.timers.run)
+            tasks.start_soon(actor._resources.timers.run)
             await test()
             tasks.cancel_scope.cancel()
 
@@ -189,7 +189,7 @@
         await anyio.lowlevel.checkpoint()
         actor.apply_changes([listing()])
         # The peer has no turn between the two: its relay waits for a connection when the change comes in.
-        actor._handle(RequestReceived(cast(Client, caller), 1, order(), actor._around.clock.now()))
+        actor._handle(RequestReceived(cast(Client, caller), 1, order(), actor._resources.clock.now()))
         actor.apply_changes([later])
         await news.until(lambda: ends)
         assert ends[0].outcome is i.Outcome.NOT_SENT
@@ -326,7 +326,7 @@
 
     async def test() -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_sample, actor._around.clock, actor)
+            tasks.start_soon(_sample, actor._resources.clock, actor)
             await anyio.lowlevel.checkpoint()
             time.sleep(0.2)  # the loop stands still
             await news.until(lambda: any(event.lag >= 100.0 for event in told))
