--- a/cometseam/mailbox.py
+++ b/cometseam/mailbox.py
@@ -1,4 +1,4 @@
-"""The mailbox of an actor: bounded, with a lane for what must not wait behind the rest."""
+"""An actor's bounded mailbox, with a separate queue for urgent messages."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -8,11 +8,11 @@
 import anyio
 
 Message = TypeVar("Message")
-WAIT_RECHECK_INTERVAL_MS = 5.0  # ms
+WAIT_RECHECK_INTERVAL_MS = 5.0  # how often `normal_wait` is called again while it holds messages back
 
 
 class Mailbox(Generic[Message]):
-    """Messages for one reader."""
+    """A message queue with a single reader."""
 
     def __init__(self, max_messages: int) -> None:
         self.max_messages = max_messages
@@ -27,7 +27,7 @@
         return chain(self._urgent, self._normal)
 
     def offer(self, message: Message) -> bool:
-        """Put a message in, if there is room."""
+        """Append a normal message; return False if the mailbox is full."""
         if len(self._normal) >= self.max_messages:
             return False
         self._normal.append(message)
@@ -35,17 +35,17 @@
         return True
 
     def push(self, message: Message) -> None:
-        """Put a message in whether there is room or not. Its sender bounds how many there can be."""
+        """Append a normal message even if the mailbox is full. The sender must bound their number."""
         self._normal.append(message)
         self._message_added.set()
 
     def put_urgent(self, message: Message) -> None:
-        """Put a message before all plain ones. Its sender bounds how many there can be."""
+        """Append an urgent message, read before all normal ones. The sender must bound their number."""
         self._urgent.append(message)
         self._message_added.set()
 
     def remove(self, is_wanted: Callable[[Message], bool]) -> list[Message]:
-        """Take out plain messages, wherever they stand."""
+        """Remove the normal messages that match, at any position, and return them."""
         removed: list[Message] = []
         kept: deque[Message] = deque()
         for message in self._normal:
@@ -54,10 +54,11 @@
         return removed
 
     async def take(self, normal_wait: Callable[[], float] = lambda: 0.0) -> Message:
-        """Take the next message; wait while there is none.
+        """Remove and return the next message; wait while there is none.
 
         Args:
-            plain_wait: for how many ms plain messages wait at most; it is asked again every few ms.
+            normal_wait: returns for how many ms at most normal messages are held back; called again every
+                few ms.
         """
         while True:
             if self._urgent:
--- a/cometseam/routing/__init__.py
+++ b/cometseam/routing/__init__.py
@@ -1,1 +1,4 @@
-"""The decision module's actor: messages become its events, and its actions become messages."""
+"""The actor around the decision module: turns messages into events, and the actions it returns into messages.
+
+A pull is a client's request; a relay is one attempt of it.
+"""
--- a/cometseam/routing/actor.py
+++ b/cometseam/routing/actor.py
@@ -1,7 +1,7 @@
-"""The module's actor: the only place that calls `Front.handle`.
+"""The actor around the decision module, and the only caller of `Front.handle`.
 
-It owns the pulls that are open, the list of caches by name, and the peers. Everything it is told comes
-through its mailbox; purges, changes of the list and relays that ended come before new pulls.
+It owns the open pulls, the endpoint table and the peers. Its input comes through its mailbox, apart from
+discovery events, which are applied at once; ends of relays are handled before new pulls.
 """
 
 from collections import deque
@@ -43,18 +43,17 @@
     from cometseam.routing.levels import LevelManager
 
 
-# ms after which a pull's client is looked at itself before anything is sent for the pull: nothing is sent on
-# later than 100 ms after its client has left, and what tells of that may lie unread while the front is late.
+# Age of a pull from which its client's connection is checked before anything is sent for the pull. Nothing
+# may be sent later than 100 ms after the client has left, and its hang-up may be unread while the front lags.
 CLIENT_CHECK_AFTER_MS = 50.0
-MAX_HELD_TIME_SHARE = (
-    0.4  # of a request's time that it may wait for discovery: given up later, it is of less use
-)
-MAX_REMEMBERED_ENDPOINTS = 256  # endpoints that drain or are gone, with the time of that, for the log
+# Share of its time that a request may wait for discovery; shed later, it has little time left elsewhere.
+MAX_HELD_TIME_SHARE = 0.4
+MAX_REMEMBERED_ENDPOINTS = 256  # draining or removed endpoints whose time of change is kept, for the log
 
 
 @dataclass(slots=True, eq=False)
 class OpenPull:
-    """A pull that is owed an answer or whose relay is out; it leaves when neither holds."""
+    """A pull that is unanswered or has a relay in flight; it is removed when neither holds."""
 
     number: int
     client: Client
@@ -71,7 +70,7 @@
 
 @dataclass(slots=True)
 class InFlightRelay:
-    """The relay of a pull that is out."""
+    """A pull's relay in flight."""
 
     relay: i.Relay
     attempt: Attempt
@@ -79,7 +78,7 @@
 
 
 def _has_waited_too_long(message: Message, now: float) -> bool:
-    """Tell whether a request that is held is to wait no longer."""
+    """Return whether a held request has used up its share of time to wait for discovery."""
     return (
         isinstance(message, RequestReceived)
         and now - message.received_at >= MAX_HELD_TIME_SHARE * message.request.time_left
@@ -87,39 +86,33 @@
 
 
 class Router:
-    """The actor round one `Front`."""
+    """The actor around one `Front`."""
 
     def __init__(
         self, front: Front, names: NameTables, max_open: int, resources: ProcessResources, seed: int = 0,
         tracer: Tracer | None = None,
     ) -> None:  # fmt: skip
-        self._seed = seed  # of what is drawn beside the module: how much later than others levels change
+        self._seed = seed  # for random choices outside the module: the spread of level changes between fronts
         self._levels: LevelManager | None = None
         self._front, self._names, self._resources = front, names, resources
         self._workloads = {name: index for index, name in enumerate(names.workloads)}
         self._endpoints = translate.EndpointTable()
-        self._peers: dict[int, Peer] = {}  # by cache; one leaves when its cache has gone or moved
+        self._peers: dict[int, Peer] = {}  # by cache; removed when the cache is gone or has another address
         self._mailbox: Mailbox[Message] = Mailbox(max_open)
         self._max_open = max_open
         self._open: dict[int, OpenPull] = {}
-        self._pulls_by_stream: dict[
-            tuple[Client, int], OpenPull
-        ] = {}  # a pull leaves when it is no longer owed
+        self._pulls_by_stream: dict[tuple[Client, int], OpenPull] = {}  # unanswered pulls
         self._request_ids: set[str] = set()  # of the pulls in `_open`
         self._last_number = 0
-        self._pending_events: deque[i.Event] = deque()  # what is still to be handed to the module
+        self._pending_events: deque[i.Event] = deque()  # not yet handled by the module
         self._tasks: TaskGroup | None = None
-        self._route_table: RouteTable | None = (
-            None  # of the operator's routes; pulls that are open keep their plan
-        )
+        self._route_table: RouteTable | None = None  # the operator's routes; open pulls keep their plan
         self._has_list = False
-        # Takes in what lies unread, see `apply_changes`.
+        # Reads and applies any unread discovery events; see `apply_changes`.
         self.read_discovery: Callable[[], None] = lambda: None
-        # Told of each attempt that is written; for how long (ms) discovery has not confirmed the list, if so.
+        # Called for each attempt written; returns for how long (ms) the list has been unconfirmed, or None.
         self.on_attempt_written: Callable[[], float | None] = lambda: None
-        self._not_ready_since: dict[
-            int, float
-        ] = {}  # by cache that drains or is gone: when that was taken in
+        self._not_ready_since: dict[int, float] = {}  # when a draining or removed cache was found so
         self.draining = self._closing = False
         self._tracer = tracer if tracer is not None and tracer.mode is not TraceMode.OFF else None
         self._target_latencies = (
@@ -128,80 +121,91 @@
             else []
         )
 
-    # What others tell it
+    # Input from other parts of the program
 
     def is_ready(self) -> bool:
-        """Tell whether it can serve."""
+        """Return whether the front can serve pulls."""
         return self._has_list and not self.draining and not self._resources.confirmation_wait()
 
     @property
     def pending_count(self) -> int:
-        """Tell how many pulls are open or still to be taken in."""
+        """Return how many pulls are open, plus messages that are not handled yet."""
         return len(self._open) + len(self._mailbox)
 
     @property
     def has_unanswered(self) -> bool:
-        """Tell whether a pull that has come is still to be answered."""
+        """Return whether any pull, open or in the mailbox, is unanswered."""
         return any(pull.unanswered for pull in self._open.values()) or any(
             isinstance(message, RequestReceived) for message in self._mailbox
         )
 
     def submit_pull(self, client: Client, stream: int, request: PullRequest) -> bool:
-        """Take a pull in, unless as many are open as it may hold, or the front is about to end."""
+        """Queue a pull; return False if too many are open or the front is shutting down."""
         if self._closing or self.pending_count >= self._max_open:
             COUNTERS.add("pull.no_room")
             return False
-        # Its client counts from when it sent it: what lay there while the process stood still may be as old.
+        # The client's deadline counts from its sending: a request read after a pause of the process may have
+        # arrived at the start of the pause.
         return self._mailbox.offer(
             RequestReceived(client, stream, request, self._resources.earliest_arrival())
         )
 
     def hang_up(self, client: Client, stream: int) -> None:
-        """A client no longer waits; its pull, if it was not handled yet, comes first."""
+        """Queue the news that a client no longer waits, behind its pull if that is not handled yet."""
         self._mailbox.push(ClientGone(client, stream))
 
     def apply_changes(self, changes: list[DiscoveryEvent], is_live: bool = True) -> None:
-        """Act on events of discovery, in this turn: what is decided from now on goes by them.
+        """Apply discovery events at once, so that every later decision takes them into account.
 
-        `is_live`: they were told while the front ran; else they are those of its start.
+        `is_live`: they were received while the front ran, rather than read at its start.
         """
         for change in changes:
             try:
                 self._apply_change(change, is_live)
-            except Exception as error:  # the events behind it count all the same
+            except Exception as error:  # the events after it are still applied
                 COUNTERS.add("routing.exception")
                 log_event("actor.failed", error, kind=type(change).__name__)
 
     def record_loop_lag(self, lag: float) -> None:
-        """The front comes so much later to what is due."""
+        """Queue the event loop's lag (ms)."""
         self._resources.record_loop_lag(lag)
-        self._mailbox.put_urgent(i.LoopLagged(lag))  # told a few times a second
+        self._mailbox.put_urgent(i.LoopLagged(lag))  # sampled a few times a second
 
     def update_plans(self, compiled: CompiledConfig) -> None:
-        """Have pulls that are taken from now on go by other plans."""
-        self._mailbox.put_urgent(PlansUpdated(compiled))  # one a reload
+        """Queue new plans, which apply to pulls received from then on."""
+        self._mailbox.put_urgent(PlansUpdated(compiled))  # one per reload
 
     def apply_verdict(self, cache: str, bad: bool, ttl: float, age: float) -> None:
-        """Take in a verdict of the fleet on a cache; one on a cache that is not listed is passed over."""
-        # As many as there are caches, a few a minute.
+        """Queue a health verdict of the fleet on a cache; it is ignored if the cache is not listed.
+
+        Args:
+            cache: the name of the cache.
+            bad: whether the cache is unhealthy.
+            ttl: for how many ms the verdict holds.
+            age: how many ms ago its evidence began.
+        """
+        # Bounded: at most one per cache, a few a minute.
         self._mailbox.put_urgent(CacheHealthVerdict(cache, bad, ttl, age))
 
     def apply_capacity_lease(self, group: str, cache: str, share: float, ttl: float) -> None:
-        """Take in this front's part of a limit: of what a cold cache bears from all fronts, of relays out
-        there, or (`cache` is then its name) of what a budget of further relays allows the fleet."""
-        # As many as there are cold caches, or capped ones, and such budgets, each refresh.
+        """Queue this front's share of a limit, which holds for `ttl` ms.
+
+        The limit is a cache's slow-start budget, the relays in flight there, or a retry budget of the fleet
+        (`cache` is then the budget's name).
+        """
+        # Bounded: one per cache in slow start, capped cache and shared retry budget in each refresh interval.
         if group.startswith("retries:"):
             self._mailbox.put_urgent(i.RetryBudgetShare(cache, share, ttl))
         else:
             self._mailbox.put_urgent(CacheCapacityLease(cache, share, ttl, group.endswith(":relays")))
 
     def set_concurrency_cap(self, per_cache: float, per_parent: float) -> None:
-        """Have the fleet's relays out at one cache, and at one parent, held to so many; 0: any."""
-        self._mailbox.put_urgent(i.ConcurrencyCap(per_cache, per_parent))  # once
+        """Queue the limits on the fleet's relays in flight at one cache and at one parent; 0: no limit."""
+        self._mailbox.put_urgent(i.ConcurrencyCap(per_cache, per_parent))  # sent once
 
     def capacity_demands(self) -> dict[str, dict[str, float]]:
-        """Return which part of each shared limit this front wishes for, by group of fronts and cache."""
-        from cometseam.routing import capacity_demand  # only where limits are shared
+        """Return the share that this front demands of each shared limit, by group of fronts and cache."""
+        from cometseam.routing import capacity_demand  # imported only if limits are shared
 
         now = self._resources.clock.now()
         demands = capacity_demand.retry_demands(self._front.active_plans, now)
@@ -217,11 +221,11 @@
         return demands
 
     def addresses(self) -> dict[str, tuple[str, int]]:
-        """Return where the listed caches of this list are, by name: those that may be sent to."""
+        """Return the addresses of the ready caches, by name."""
         return self._endpoints.addresses()
 
     def _update_levels(self, compiled: CompiledConfig) -> None:
-        """Take other levels of reduced service over; the present one goes on by its name."""
+        """Apply the levels of reduced service of a new file; the current one is found again by its name."""
         if compiled.level_policy is None:
             if self._levels is not None:
                 self._levels.disable()
@@ -232,7 +236,7 @@
         if self._levels is not None:
             self._levels.replace(compiled.level_policy, routes)
             return
-        from cometseam.routing.levels import LevelManager  # with its histograms, only where there are levels
+        from cometseam.routing.levels import LevelManager  # with histograms; imported only for levels
 
         self._levels = LevelManager(
             compiled.level_policy, routes, self._front, self._names.workloads, self._resources,
@@ -240,12 +244,12 @@
         )  # fmt: skip
 
     async def close(self) -> None:
-        """Keep what is kept over restarts: the front ends."""
+        """Save the state that is kept across restarts."""
         if self._levels is not None:
             self._levels.save_level()
 
     def _enqueue_attempt_end(self, end: AttemptEnded) -> None:
-        self._mailbox.put_urgent(end)  # as many as there are relays out, at most
+        self._mailbox.put_urgent(end)  # bounded by the relays in flight
 
     # The actor
 
@@ -255,7 +259,7 @@
             self._tasks = tasks
             while True:
                 message = await self._mailbox.take(self._hold_requests)
-                self.read_discovery()  # what it has told counts, however late this front comes to it
+                self.read_discovery()  # its events apply even if the front reads them late
                 try:
                     self._handle(message)
                 except Exception as error:
@@ -263,9 +267,9 @@
                     log_event("actor.failed", error, kind=type(message).__name__)
 
     def _hold_requests(self) -> float:
-        """Return for how many ms requests are still held at most, until discovery has confirmed the list.
+        """Return for how many more ms at most requests are held until discovery has confirmed the list.
 
-        Those that have waited as long as they may are shed: another front may serve them in time.
+        Requests that have used up their share of time are shed: another front may serve them in time.
         """
         wait = self._resources.unconfirmed_wait()
         if wait:
@@ -295,7 +299,7 @@
                     self._levels.update(message.lag)
             case CacheHealthVerdict():
                 number = self._endpoints.number(message.cache)
-                if number is None:  # it has left the list, or is not on this front's yet
+                if number is None:  # not listed any more, or not on this front yet
                     COUNTERS.add("fleet.verdict.unlisted")
                     return
                 self._process_event(i.HealthVerdict(number, message.bad, message.ttl, message.age))
@@ -306,14 +310,14 @@
                         i.CapacityLease(number, message.share, message.ttl, message.for_relays)
                     )
             case PlansUpdated():
-                # Between two events: no pull sees half of the old routes and half of the new.
+                # Routes and plans change together between two events, so no pull sees a mix of old and new.
                 self._route_table = message.compiled.table
                 self._process_event(message.compiled.plans)
                 self._update_levels(message.compiled)
 
     def _open_pull(self, message: RequestReceived) -> None:
         request, now = message.request, self._resources.clock.now()
-        # Guards the others against pulls withdrawn by the hundred.
+        # Keeps hundreds of withdrawn pulls from delaying the others.
         if not self._awaits(message.client, message.stream, message.received_at):
             COUNTERS.add("pull.withdrawn")
             request.frame.free()
@@ -355,15 +359,15 @@
                 target_latency,
                 deadline - message.received_at,
             )
-        # Guards the first rule against faults of this program: within the grace, whatever else happens.
+        # Guarantees an answer within the grace period even if this program has a fault.
         overdue_at = deadline + self._resources.links.answer_grace
         pull.timer = self._resources.timers.call_at(overdue_at, lambda: self._expire_pull(pull))
         self._process_event(event)
 
     def _awaits(self, client: Client, stream: int, since: float) -> bool:
-        """Tell whether a client still waits for a stream that it asked for at `since`.
+        """Return whether a client still waits for the answer to a request that it sent at `since`.
 
-        Asked just before a request is written, so what discovery has told is read here as well.
+        This is called just before a request is written, so it reads unread discovery events as well.
         """
         self.read_discovery()
         if self._resources.clock.now() - since > CLIENT_CHECK_AFTER_MS:
@@ -415,13 +419,13 @@
             self._process_event(
                 i.CacheListUpdate(i.ListUpdateKind.CACHED, update.entries) if is_first_list else update
             )
-            # What waits was decided for a cache that was ready, at that address, since that start.
+            # Unsent relays were decided for a cache that was ready, at its old address, since its old start.
             self._withdraw_unsent(lambda _, relay: relay.cache in changed or relay.source in changed)
 
     def _withdraw_unsent(self, is_affected: Callable[[OpenPull, i.Relay], bool]) -> None:
-        """Take back relays not written yet: they were decided before a drain, a purge, a new start.
+        """Withdraw the unsent relays that were decided before a drain, a purge or a new start.
 
-        They are marked in this turn: a connection may come up before the peer's actor has its next.
+        They are marked at once: a connection may be established before the peer's actor runs again.
         """
         for pull in list(self._open.values()):
             if (
@@ -433,7 +437,7 @@
                 pull.in_flight.peer.mailbox.push(GiveUp(pull.in_flight.attempt, if_unsent=True))
 
     async def _stop_when_idle(self, peer: Peer) -> None:
-        """Let what is out to a peer that is gone come to its end."""
+        """Stop a removed peer once its relays in flight have ended."""
         while not peer.is_idle:
             await anyio.sleep(self._resources.links.connect_timeout / 1000.0)
         peer.stop()
@@ -483,7 +487,7 @@
                 due_at = self._resources.clock.now() + action.delay
                 self._resources.timers.call_at(due_at, lambda: self._mailbox.put_urgent(fired))
             case i.Watch():
-                # The log is followed at all times; the call's one answer tells that nothing was missed.
+                # Discovery is followed at all times; an empty update confirms that nothing was missed.
                 self._pending_events.append(i.CacheListUpdate(i.ListUpdateKind.CHANGES, ()))
             case i.Probe():
                 self._pending_events.append(i.ProbeEnded(action.cache, i.Outcome.NOT_SENT, ()))
@@ -519,9 +523,9 @@
             self._enqueue_attempt_end(AttemptEnded(attempt, EndReason.UNSENT))
 
     def _audit_attempt(self, relay: i.Relay, request_id: str) -> None:
-        """Log a request written by a list that discovery has not confirmed, or against what is known.
+        """Log a request that is written while the list is unconfirmed, or although an endpoint is not ready.
 
-        The latter goes to an endpoint that drains or is gone, or names one as its source.
+        The latter is sent to an endpoint that drains or is gone, or names one as its source.
         """
         unconfirmed_for = self.on_attempt_written()
         if unconfirmed_for is not None:
@@ -573,7 +577,7 @@
         elif body is not None:
             body.free()
         if pull.unanswered and not pull.client.awaits(pull.stream):
-            # It has left, and word of that is still behind other messages: nothing further is sent for it.
+            # The client has left, and its `ClientGone` is still queued: nothing more is sent for this pull.
             self._disconnect_pull(pull)
         if not pull.unanswered:
             self._settle_pull(pull)
@@ -600,15 +604,18 @@
         )
 
     def _settle_pull(self, pull: OpenPull, kind: str = "settled") -> None:
-        """No answer is owed any more: every final answer passes here, just before it is written."""
+        """Mark a pull as answered, and remove it if no relay is in flight.
+
+        Every final answer passes through here, just before it is written.
+        """
         if pull.unanswered:
             COUNTERS.record_max("answer_past_cut_off_ms", self._resources.clock.now() - pull.deadline)
             if self._tracer is not None:
                 self._log_trace(self._tracer.finish_trace(pull.number, self._resources.clock.now(), kind))
         pull.unanswered = False
         if pull.in_flight is not None:
-            # Nothing is sent for a pull after its final answer, nor for a client that has left: what waits in
-            # a mailbox or for a connection, or is to go over another one, is not written any more.
+            # Nothing is sent for a pull after its final answer or after its client has left: an attempt that
+            # waits in a mailbox, for a connection or to be requeued is not written any more.
             pull.in_flight.attempt.wanted = False
         if pull.timer is not None:
             pull.timer.cancel()
@@ -633,11 +640,11 @@
         )
 
     def peer_end_counts(self) -> list[tuple[str, dict[str, int]]]:
-        """Tell for each peer how relays to it ended."""
+        """Return for each peer how many relays to it ended in which way."""
         peers = sorted(self._peers.values(), key=lambda peer: peer.name)
         return [(peer.name, dict(sorted(peer.end_counts.items()))) for peer in peers]
 
     def begin_shutdown(self) -> None:
-        """Have all that is owed answered, by the module, and take no more in: the front ends."""
+        """Refuse new pulls and have the module answer those that are unanswered."""
         self._closing = True
-        self._mailbox.push(i.ShuttingDown())  # behind the pulls that have come
+        self._mailbox.push(i.ShuttingDown())  # behind the pulls already received
--- a/cometseam/routing/capacity_demand.py
+++ b/cometseam/routing/capacity_demand.py
@@ -1,8 +1,8 @@
-"""What this front wishes for of limits that the whole fleet shares, by what its module did of late.
+"""Computes this front's demand for limits that the whole fleet shares, from its recent use. No I/O.
 
-Shared is what a cold cache (or parent) bears from all fronts together, and, where the operator's file caps
-it, how many relays they have out at one. The module says what it sent there and how often it was barred; from
-that comes the wish, as a part of the whole. Nothing is sent, nothing is asked.
+The fleet shares the slow-start budget of each cache or parent, the number of relays in flight at one where
+the operator's file caps it, and retry budgets. A demand is a share (0 to 1) of the whole limit, computed from
+what the decision module used and from whether the limit rejected a relay.
 """
 
 from collections.abc import Iterable
@@ -12,21 +12,24 @@
 from cometseam.logic import Front, Server
 from cometseam.timing import WINDOW_SLICES, ActivePlans, CapacityShare
 
-REJECTED_GROWTH_FACTOR = 2.0  # times its part that a front wishes for where it was barred
-USED_MARGIN_FACTOR = 1.25  # times what it used that it wishes for where it was not
+REJECTED_GROWTH_FACTOR = 2.0  # demand over current share, if relays were rejected
+USED_MARGIN_FACTOR = 1.25  # demand over used share, if none were
 
-PARENTS_GROUP = "parents"  # the group of all fronts, for parents; each zone's fronts are a group of its name
-RELAYS_SUFFIX = ":relays"  # behind the name of a group: of relays out, whose terms have another window
-RETRIES_PREFIX = (
-    "retries:"  # before the window (ms) of budgets of further relays: all fronts, a group a window
+PARENTS_GROUP = (
+    "parents"  # the group of all fronts, for parents; the fronts of a zone form a group named after it
 )
-IDLE_DEMAND_FACTOR = 0.5  # of an equal part that a front wishes for which uses nothing: it may have to soon
+RELAYS_SUFFIX = (
+    ":relays"  # appended to a group's name for its limit on relays in flight, which has its own window
+)
+# Followed by a window in ms: the group of all fronts for the retry budgets with that window.
+RETRIES_PREFIX = "retries:"
+IDLE_DEMAND_FACTOR = 0.5  # minimum demand over the equal share: an idle front may need the limit soon
 
 
 def retry_demands(active_plans: ActivePlans, now: float) -> dict[str, dict[str, float]]:
-    """Return the wishes for what budgets allow the fleet, by group and name.
+    """Return the demands for the fleet's retry budgets, by group and name.
 
-    A front that sends no further relay says so: what it keeps free else could not be lent.
+    Idle fronts report a demand too; otherwise their unused share could not be given to others.
     """
     demands: dict[str, dict[str, float]] = {}
     for terms, budget in active_plans.budgets.items():
@@ -40,22 +43,28 @@
 
 
 def retry_group(window: float) -> str:
-    """Return the group of the fleet's budgets with such a window (ms)."""
+    """Return the group of the fleet's retry budgets with a window (ms)."""
     return f"{RETRIES_PREFIX}{window:g}"
 
 
 def fleet_budget_windows(plans: Plans) -> set[float]:
-    """Return the windows (ms) of the budgets that allow the fleet something."""
+    """Return the windows (ms) of the retry budgets that the fleet shares."""
     terms = [plans.front_budget, *plans.network_budgets, *(plan.allowance for plan in plans.plans)]
     return {term.window for term in terms if term is not None and term.fleet}
 
 
 def demanded_share(share: float, used: float, rejected: bool, share_per_pull: float) -> float:
-    """Return the part of the whole to wish for: `part` is what it may use, `used` what it did; 0 to 1.
+    """Return the share of the limit to demand, 0 to 1.
+
+    A share smaller than one pull's would let nothing through, so a front that sends anything demands room for
+    one more pull. An idle one demands nothing: it gets a share of what is left over, or demands one after its
+    first pull was rejected (and went on to the next cache).
 
-    `unit`: what one more pull takes. A part below that lets nothing through, so a front that sends anything
-    wishes for room for one more. An idle one wishes for nothing: it gets of what is left over, or asks when
-    its first pull was barred (and went on to the next cache).
+    Args:
+        share: the share that the front may use now.
+        used: the share that it used.
+        rejected: whether the limit rejected any of its relays.
+        share_per_pull: the share that one more pull takes.
     """
     if not rejected and not used:
         return 0.0
@@ -66,7 +75,7 @@
 
 
 def slow_start_demands(front: Front, now: float) -> dict[int, float]:
-    """Return the wish for each cache that is cold now; what was counted of sends barred begins anew."""
+    """Return the demand for each cache in slow start, and reset the usage counts of all caches."""
     demands: dict[int, float] = {}
     for cache, server in front.servers.items():
         rejected, _ = server.slow_start_share.reset_usage()
@@ -82,9 +91,9 @@
 
 
 def relay_demands(front: Front, now: float) -> dict[int, float]:
-    """Return the wish for each capped cache that is listed: an idle front's as well.
+    """Return the demand for each listed cache with a cap, also of an idle front.
 
-    One that is not named in an ask is at its equal part, which so could not be lent.
+    A cache missing from the report leaves the front its equal share, which could not be given to others.
     """
     demands: dict[int, float] = {}
     for cache, server in front.servers.items():
@@ -98,7 +107,7 @@
 
 
 def _smoothed_demand(share: CapacityShare, used: float, rejected: bool, capacity: float, now: float) -> float:
-    """Return the wish for a limit that is always shared: what an idle front keeps may be needed soon."""
+    """Return the demand for a limit that is always shared; an idle front's is not 0, see above."""
     demand = demanded_share(share.share_at(now), used / capacity, rejected, 1.0 / capacity)
     return share.smooth_demand(min(max(demand, IDLE_DEMAND_FACTOR * share.equal_share), 1.0))
 
@@ -113,10 +122,10 @@
     settings: Settings, zones: tuple[str, ...], refresh: float, grant_ttl: float, drift: float,
     capped: bool = False, budgets: Iterable[float] = (),
 ) -> dict[str, SharingTerms]:  # fmt: skip
-    """Return the groups of fronts that share something, each with its terms and how many it should be.
+    """Return the terms of each group of fronts that share a limit, with the number of fronts expected.
 
-    `capped`: relays out are shared too. What was sent by an old part weighs until it has ended: at the latest
-    after the longest cut-off of any workload. `budgets`: the windows of budgets that are shared.
+    `capped`: relays in flight are shared too. Relays sent under an old share count until they end, at the
+    latest after the longest deadline of any workload. `budgets`: the windows (ms) of shared retry budgets.
     """
     counts = {zones[zone]: count for zone, count in enumerate(settings.fronts_by_zone) if count > 0}
     counts[PARENTS_GROUP] = max(settings.fronts, 1)
@@ -132,7 +141,7 @@
         }
         groups.update(relay_groups)
     for window in budgets:
-        # A budget's window slides in steps: what it counted leaves up to one step late.
+        # A budget's window slides in steps, so counts leave it up to one step late.
         terms = SharingTerms(
             max(settings.fronts, 1), grant_ttl, refresh, window * (1.0 + 1.0 / WINDOW_SLICES), drift
         )
@@ -141,14 +150,14 @@
 
 
 def own_groups(settings: Settings, zones: tuple[str, ...], groups: dict[str, SharingTerms]) -> set[str]:
-    """Return the groups that this front is one of."""
+    """Return the names of the groups that this front belongs to."""
     names = (PARENTS_GROUP, zones[settings.zone])
     own_names = {name + suffix for name in names for suffix in ("", RELAYS_SUFFIX)}
     return {name for name in groups if name in own_names or name.startswith(RETRIES_PREFIX)}
 
 
 def group_of(front: Front, cache: int, zones: tuple[str, ...]) -> str:
-    """Tell which fronts share a cache: the parents' all, an edge cache's those of its zone."""
+    """Return the group that shares a cache: all fronts for a parent, those of its zone for an edge cache."""
     entry, settings = front.servers[cache].entry, front.settings
     if entry.kind in (settings.parent_kind, settings.origin_kind) or entry.zone != settings.zone:
         return PARENTS_GROUP
--- a/cometseam/routing/levels.py
+++ b/cometseam/routing/levels.py
@@ -1,7 +1,7 @@
-"""The levels of reduced service beside the module's actor: what it sees goes in, the module is told.
+"""Connects the levels of reduced service to the router: feeds in signals, passes on changes of level.
 
-All of it runs in the actor. Only what is kept over restarts touches a disk: a small file, a few times a
-minute.
+All of this runs in the router's actor. The only disk access is the snapshot of the level for a restart: a
+small file, written a few times a minute.
 """
 
 from collections.abc import Callable
@@ -19,21 +19,21 @@
 from cometseam.protocol.discovery_events import EndpointEntry
 from cometseam.transport.resources import ProcessResources
 
-SNAPSHOT_INTERVAL_MS = 20_000.0  # ms between two times that a level is kept: it is old after two minutes
+SNAPSHOT_INTERVAL_MS = 20_000.0  # a snapshot is too old to use after two minutes
 
 
 def histogram() -> HdrHistogram:
-    """Return a histogram of hundredths of the quoted time."""
+    """Return a histogram of latencies in hundredths of the target latency."""
     return HdrHistogram(1, 1000, 2)
 
 
 def counter_label(name: str) -> str:
-    """Return a level's name as a part of a counter's: counters are told in one line, apart by spaces."""
+    """Return a level's name without spaces, which separate the counters in a log line."""
     return "-".join(name.split())
 
 
 class LevelManager:
-    """The levels of one front."""
+    """Manages the level of reduced service of one front."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._controller = LevelController(policy, routes, workloads, self._random, histogram, level)
 
     def _restore_level(self, policy: LevelPolicy) -> int:
-        """Return the level that was kept, or full service."""
+        """Return the number of the level in the snapshot; 0 (full service) if there is none to use."""
         if not policy.keep:
             return 0
         try:
@@ -73,31 +73,31 @@
             return 0
         level = policy.level_number(saved[0])
         if level is None:
-            log_event("level.not_kept", why=f"no level has the name {saved[0]!r} any more")
+            log_event("level.not_kept", why=f"no level is named {saved[0]!r} any more")
             return 0
         self._level_since = saved[1]
         log_event("level.found", level=saved[0])
         return level
 
     def replace(self, policy: LevelPolicy, routes: tuple[tuple[str, int], ...]) -> None:
-        """Go on under another scheme."""
+        """Replace the level policy; keep the level that corresponds to the current one."""
         before = self._controller.level_name
         self._controller.replace_policy(policy, routes, self._random)
         if self._controller.level_name != before:
             log_event("level.mapped", before=before, after=self._controller.level_name)
 
     def disable(self) -> None:
-        """Leave nothing out any more: the file has no levels."""
+        """Return to full service: the operator's file no longer has levels."""
         if self._controller.state_machine.level:
             log_event("level.mapped", before=self._controller.level_name, after="full")
         self._process_event(i.ServiceLevel())
 
     def save_level(self) -> None:
-        """Keep the level for the next start."""
+        """Write the snapshot of the level for the next start."""
         self._save(self._resources.clock.now())
 
     def record_link_report(self, event: i.RelayEnded, entry: EndpointEntry | None) -> None:
-        """Take in how full the zone's link is, where a cache of the zone tells it."""
+        """Record the utilization of the zone's link, if an edge cache of the zone reports it."""
         settings = self._front.settings
         upper_tier_kinds = (settings.parent_kind, settings.origin_kind)
         if entry is None or entry.zone != settings.zone or entry.kind in upper_tier_kinds:
@@ -108,7 +108,7 @@
             )
 
     def record_answer(self, pull: i.Pull, received_at: float, kind: str) -> None:
-        """Take in a final answer; what the level itself shed says nothing of the trouble."""
+        """Record a final answer as a signal, unless the level itself shed the pull."""
         if kind == "shed" and self._front.load_shedder.shed_count != self._last_shed_count:
             self._last_shed_count = self._front.load_shedder.shed_count
             COUNTERS.add(f"levels.shed.{counter_label(self._controller.level_name)}")
@@ -120,7 +120,7 @@
         self._controller.signals.record_answer(now, pull.workload, kind, now - received_at, target_latency)
 
     def update(self, lag: float) -> None:
-        """Take in how late the loop is, and every now and then look whether the level changes."""
+        """Record the event loop's lag (ms); once per evaluation interval, evaluate the level."""
         now = self._resources.clock.now()
         self._controller.signals.record_lag(now, lag)
         if now - self._evaluated_at < EVALUATION_INTERVAL_MS:
@@ -162,7 +162,7 @@
             self._save(now)
 
     def _with_workload_name(self, label: str) -> str:
-        """Return what was left out with the workload by its name."""
+        """Return a label of the skipped counts with the workload's name in place of its index."""
         kind, _, workload = label.partition(".")
         return f"{kind}.{self._workloads[int(workload)]}" if workload else kind
 
--- a/cometseam/routing/messages.py
+++ b/cometseam/routing/messages.py
@@ -1,4 +1,4 @@
-"""What the router's mailbox holds."""
+"""The messages in the router's mailbox."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A pull has come in."""
+    """A client has sent a pull on `stream`, at `received_at` (ms)."""
 
     client: Client
     stream: int
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """A client no longer waits for a stream."""
+    """A client no longer waits for the answer on `stream`."""
 
     client: Client
     stream: int
@@ -29,14 +29,14 @@
 
 @dataclass(slots=True)
 class PlansUpdated:
-    """The operator's file has changed."""
+    """The operator's file has been reloaded."""
 
     compiled: CompiledConfig
 
 
 @dataclass(slots=True)
 class CacheHealthVerdict:
-    """The fleet's verdict on a cache, by name; see `interface.HealthVerdict`."""
+    """The fleet's health verdict on the cache named `cache`; see `interface.HealthVerdict`."""
 
     cache: str
     bad: bool
@@ -46,7 +46,10 @@
 
 @dataclass(slots=True)
 class CacheCapacityLease:
-    """This front's part of what a cold cache bears, or of relays out there; see `interface.CapacityLease`."""
+    """This front's share of a cache's slow-start budget, or with `for_relays` of its in-flight relays.
+
+    See `interface.CapacityLease`.
+    """
 
     cache: str
     share: float
--- a/cometseam/routing/translate.py
+++ b/cometseam/routing/translate.py
@@ -1,4 +1,4 @@
-"""From what came in on sockets to the module's events, and from its relays to what is written."""
+"""Converts received messages to events of the decision module, and its relays to commands."""
 
 from hashlib import blake2b
 
@@ -19,41 +19,43 @@
 }
 
 
-# ms: what discovery tells while the front runs happened no longer ago than that. Stamps are Unix times of
-# other machines; where this one's wall clock was wrong when the process started, an endpoint's start is so
-# believed to be later than it was (colder), and a purge too (more copies are too old): never the reverse.
+# Maximum age assumed for events that discovery sends while the front runs. Timestamps are Unix times of other
+# machines. If this machine's wall clock was wrong when the process started, the limit makes the start of an
+# endpoint or a purge seem later than it was (the endpoint colder, more copies too old), never earlier.
 MAX_LIVE_EVENT_AGE_MS = 10_000.0
 
 
 def local_event_time(timestamp: float, now: float, is_live: bool) -> float:
-    """Return when something happened, on the scale of `now`, from the Unix time (ms) that its event gives."""
+    """Return the time of an event on the clock of `now`, from its Unix timestamp (ms).
+
+    It is never after `now`, and with `is_live` at most `MAX_LIVE_EVENT_AGE_MS` before.
+    """
     return max(min(timestamp, now), now - MAX_LIVE_EVENT_AGE_MS) if is_live else min(timestamp, now)
 
 
 class EndpointTable:
-    """The caches by number. It holds what the list holds: a cache that has gone leaves."""
+    """The listed caches by number. Caches that are gone are removed."""
 
     def __init__(self) -> None:
         self._entries: dict[int, EndpointEntry] = {}
         self._numbers_by_name: dict[str, int] = {}
-        self._start_times: dict[
-            int, tuple[float, float]
-        ] = {}  # by number: its start's stamp, and the instant
+        # By number: the timestamp of its start, and that time on the local clock.
+        self._start_times: dict[int, tuple[float, float]] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def get(self, cache: int) -> EndpointEntry | None:
-        """Return a cache's line."""
+        """Return a cache's entry; None if it is not listed."""
         return self._entries.get(cache)
 
     def is_ready(self, cache: int) -> bool:
-        """Tell whether the list has a cache as ready."""
+        """Return whether a cache is listed as ready."""
         entry = self._entries.get(cache)
         return entry is not None and entry.lifecycle is i.Lifecycle.READY
 
     def starts(self) -> dict[int, tuple[tuple[str, int], float]]:
-        """Return the address and the last start of each cache that is ready, by number."""
+        """Return the address and start timestamp of each ready cache, by number."""
         ready = i.Lifecycle.READY
         entries = self._entries.items()
         return {
@@ -61,27 +63,30 @@
         }
 
     def number(self, name: str) -> int | None:
-        """Return the number of a listed cache; None where it is not listed."""
+        """Return the number of a cache; None if it is not listed."""
         return self._numbers_by_name.get(name)
 
     def addresses(self) -> dict[str, tuple[str, int]]:
-        """Return the addresses of the caches that are ready, by name."""
+        """Return the addresses of the ready caches, by name."""
         ready = i.Lifecycle.READY
         return {entry.name: entry.address for entry in self._entries.values() if entry.lifecycle is ready}
 
     def _number_for(self, name: str) -> int:
-        """Tell a cache's number: by its name alone, so that all fronts hash alike, also after a restart."""
+        """Return a cache's number.
+
+        It is derived from the name alone, so that all fronts hash alike, also after a restart.
+        """
         salt = 0
         while name not in self._numbers_by_name:
             digest = blake2b(name.encode(), digest_size=8, salt=salt.to_bytes(8, "big")).digest()
             number = int.from_bytes(digest, "big")
-            salt += 1  # two names in 2^64 alike: the later one draws again
+            salt += 1  # on a collision (1 in 2^64) the later name is hashed with another salt
             if number not in self._entries:
                 return number
         return self._numbers_by_name[name]
 
     def _start_time(self, number: int, timestamp: float, now: float, is_live: bool) -> float:
-        """Return when a cache started (0: long ago); one start stays one instant, however often told."""
+        """Return when a cache started (0: long ago). The same timestamp always gives the same local time."""
         if timestamp <= 0.0:
             self._start_times.pop(number, None)
             return 0.0
@@ -91,12 +96,12 @@
         return known_start[1]
 
     def apply_listing(self, listing: EndpointList, now: float, is_live: bool = True) -> i.CacheListUpdate:
-        """Take in a list, or its changes.
+        """Apply a list of caches, or changes to it; return them as an event.
 
         Args:
-            listing: what discovery told.
+            listing: the event from discovery.
             now: the clock's time.
-            is_news: it was told while the front ran, and is no list of the start.
+            is_live: whether it was received while the front ran, rather than read at the start.
         """
         if listing.is_snapshot:
             self._entries.clear()
@@ -126,18 +131,18 @@
 
 
 def purge_event(purge: Purge, now: float, is_live: bool = True) -> i.Purged:
-    """Return a purge as an event."""
+    """Return the event for a purge."""
     return i.Purged(purge.object, purge.group, now - local_event_time(purge.time, now, is_live))
 
 
 def pull_event(number: int, request: PullRequest, workload: int, time_left: float) -> i.Pull:
-    """Return a client's order as an event."""
+    """Return the event for a client's request, with `time_left` ms until its deadline."""
     return i.Pull(number, int(request.object, 16), request.part, workload, time_left, False, request.size_kb,
                   request.group)  # fmt: skip
 
 
 def assign_plan(event: i.Pull, table: RouteTable, address: int) -> None:
-    """Give a pull the plan of the first route that matches it, and the network of its client."""
+    """Set a pull's plan, from the first route that matches it, and the network of its client."""
     route = table.find(
         RouteKey(event.workload, event.object, event.group, event.part, size_in_bytes(event.size_kb), address)
     )
@@ -146,14 +151,22 @@
 
 
 def network_of(address: int) -> int:
-    """Return the network of a client, for fairness: its /24, or its /48 with IPv6."""
+    """Return the network of a client address, used for fairness: its /24, or with IPv6 its /48."""
     return address >> 8 if address >> 32 == IPV4_MAPPED_BASE >> 32 else address >> 80
 
 
 def ended_event(
     end: AttemptEnded, cache: int, now: float, is_pull_closed: bool, load_names: tuple[str, ...]
 ) -> i.RelayEnded:
-    """Return a relay's end as an event."""
+    """Return the event for the end of a relay.
+
+    Args:
+        end: how the attempt ended.
+        cache: the cache that it was sent to.
+        now: the clock's time.
+        is_pull_closed: whether the pull needs no answer any more.
+        load_names: the load values to pass on; none are unless the answer has all of them.
+    """
     attempt, answer = end.attempt, end.answer
     duration = now - attempt.queued_at
     if answer is None:
@@ -189,7 +202,7 @@
 
 
 def relay_command(relay: i.Relay, request: PullRequest, source: str) -> Command:
-    """Return what is written for a relay."""
+    """Return the command to send for a relay."""
     return Command(
         request.id,
         request.workload,
--- a/cometseam/tracing/__init__.py
+++ b/cometseam/tracing/__init__.py
@@ -1,4 +1,7 @@
-"""Trails of pulls: what became of each relay of a pull, told when the pull ends wrongly. Without I/O."""
+"""Traces of pulls: what happened to each relay, reported when the pull ends abnormally. No I/O.
+
+A pull is a client's request; a relay is one attempt of it.
+"""
 
 from cometseam.tracing.tracer import FinishedTrace, TraceEvent, TraceMode, Tracer
 
--- a/cometseam/tracing/tracer.py
+++ b/cometseam/tracing/tracer.py
@@ -1,14 +1,14 @@
-"""Trails of pulls, kept while each is open and told once, when it ends wrongly.
+"""Per-pull traces, kept while a pull is open and reported once, when it ends abnormally.
 
-A front decides alone, and what a pull met is spread over its relays: which cache was asked, from which
-source, how long it waited, how each relay ended, and how the pull was answered at last. A counter tells how
-many pulls came late; a trail tells why one did. Trails are kept for open pulls only (`finish_trace` and
-`discard_trace` empty the table, and it holds `max_open` at most: a pull past that is not traced, and
-counted), with `MAX_EVENTS_PER_TRACE` steps each. What is told is bounded by a budget of lines a second,
-refilled by the clock handed in: a front that goes wrong for everyone writes `per_second` trails a second and
-counts the rest.
+A trace records the relays of a pull: the cache and source of each, how long it waited, how it ended, and how
+the pull was finally answered. Counters show how many pulls were late; a trace shows why one was.
 
-Times are float ms of the front's one clock; the trail tells them from the pull's arrival.
+Traces are kept for open pulls only: `finish_trace` and `discard_trace` remove them. At most `max_open` pulls
+are traced, each with at most `MAX_EVENTS_PER_TRACE` events; pulls and events beyond that are counted. A token
+bucket, refilled by the caller's clock, limits the output: if every pull fails, a front reports `per_second`
+traces a second and counts the rest.
+
+Times are float ms of the front's single clock; traces report them relative to the pull's arrival.
 """
 
 from dataclasses import dataclass, field
@@ -16,19 +16,19 @@
 
 
 class TraceMode(StrEnum):
-    """Which pulls are told."""
+    """Which pulls are reported."""
 
     OFF = "off"
-    WRONG = "wrong"  # shed, errored, hung up, given up at the cut-off, or finished past the quoted time
+    WRONG = "wrong"  # shed, errored, hung up, expired at the deadline, or slower than the target latency
     ALL = "all"
 
 
-MAX_EVENTS_PER_TRACE = 12  # of one trail; further ones are counted in `omitted_events`
+MAX_EVENTS_PER_TRACE = 12  # further ones are only counted, in `omitted_events`
 
 
 @dataclass(frozen=True, slots=True)
 class TraceEvent:
-    """One thing that became of a pull: `at` ms after it came; `kind` is `relay` or `end`."""
+    """An event of a pull, `at` ms after its arrival; `kind` is `relay` or `end`."""
 
     at: float
     kind: str
@@ -52,12 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedTrace:
-    """A trail to be logged: the pull's client id, how it ended, when, and its steps."""
+    """A trace to be logged: the pull's request id, how and when it ended, and its events."""
 
     id: str
     workload: str
     kind: str  # finished, shed, errored, hung_up, overdue
-    late: bool  # past the quoted time
+    late: bool  # answered later than the target latency
     duration: float  # ms from arrival to the final answer
     target_latency: float
     deadline: float
@@ -65,13 +65,13 @@
     omitted_events: int
 
     def text(self) -> str:
-        """The steps as one line: `at kind cache detail; …`."""
+        """Return the events as one line: `at kind cache detail; …`."""
         listed_events = "; ".join(str(event) for event in self.events)
         return f"{listed_events}; {self.omitted_events} more" if self.omitted_events else listed_events
 
 
 class Tracer:
-    """Keeps a trail for each open pull, and hands back those to be told."""
+    """Keeps a trace for each open pull and returns those to be reported."""
 
     def __init__(
         self, mode: TraceMode, per_second: float = 20.0, burst: int = 40, max_open: int = 4096
@@ -85,8 +85,8 @@
         self._refilled_at: float | None = None
         self._max_open = max_open
         self._open_traces: dict[int, _OpenTrace] = {}
-        self.suppressed = 0  # trails that the budget kept back
-        self.untraced = 0  # pulls that came while `max_open` were traced
+        self.suppressed = 0  # traces dropped by the rate limit
+        self.untraced = 0  # pulls that arrived while `max_open` were traced
 
     def __len__(self) -> int:
         return len(self._open_traces)
@@ -94,7 +94,7 @@
     def start_trace(
         self, number: int, id: str, workload: str, at: float, target_latency: float, deadline: float
     ) -> None:
-        """A pull came: `quoted` and `cut_off` in ms from now."""
+        """Start the trace of a pull; `target_latency` and `deadline` are in ms from `at`."""
         if self.mode is TraceMode.OFF:
             return
         if len(self._open_traces) >= self._max_open:
@@ -112,7 +112,15 @@
         trace.events.append(TraceEvent(round(at - trace.received_at, 1), kind, cache, detail))
 
     def record_relay(self, number: int, at: float, cache: str, source: str, timeout: float) -> None:
-        """A relay went out to `cache`, filled from `source` if another; `time_out` 0: the cut-off."""
+        """Record a relay to `cache`.
+
+        Args:
+            number: the pull.
+            at: the clock's time.
+            cache: the name of the cache.
+            source: the name of the endpoint that it fills from; "" if none.
+            timeout: ms until the relay times out; 0: the pull's deadline applies.
+        """
         detail = f"from {source}" if source else ""
         if timeout:
             detail = f"{detail} within {timeout:.0f}".lstrip()
@@ -121,18 +129,27 @@
     def record_relay_end(
         self, number: int, at: float, cache: str, outcome: str, remark: str = "", lag: str = ""
     ) -> None:
-        """A relay ended: `how` is the answer's word, or how it ended without one; `why`, `lag` as told."""
+        """Record the end of a relay.
+
+        Args:
+            number: the pull.
+            at: the clock's time.
+            cache: the name of the cache.
+            outcome: the answer's status word, or how the relay ended without an answer.
+            remark: the answer's remark; "" if none.
+            lag: the wait (ms) that the answer reports; "" if none.
+        """
         detail = " ".join(
             part for part in (outcome, remark and f"why={remark}", lag and f"lag={lag}") if part
         )
         self._add_event(number, at, "end", cache, detail)
 
     def discard_trace(self, number: int) -> None:
-        """Forget a pull without telling it."""
+        """Remove the trace of a pull without reporting it."""
         self._open_traces.pop(number, None)
 
     def finish_trace(self, number: int, at: float, kind: str) -> FinishedTrace | None:
-        """The pull's final answer: return its trail where it is to be told and the budget allows."""
+        """Remove a pull's trace at its final answer; return it if it is to be reported within the limit."""
         trace = self._open_traces.pop(number, None)
         if trace is None:
             return None
@@ -148,7 +165,7 @@
         return FinishedTrace(trace.id, trace.workload, kind, late, duration, *remaining_fields)
 
     def _take_token(self, at: float) -> bool:
-        """Take one line from the budget, refilled by the clock; a clock that goes back refills nothing."""
+        """Return whether a token could be taken from the bucket. A clock that goes backwards adds none."""
         if self._refilled_at is not None and at > self._refilled_at:
             self._tokens = min(self._burst, self._tokens + (at - self._refilled_at) * self._tokens_per_ms)
         if self._refilled_at is None or at > self._refilled_at:
