--- a/cometseam/routing/actor.py
+++ b/cometseam/routing/actor.py
@@ -112,7 +112,7 @@
         self.read_discovery: Callable[[], None] = lambda: None
         # Called for each attempt written; returns for how long (ms) the list has been unconfirmed, or None.
         self.on_attempt_written: Callable[[], float | None] = lambda: None
-        self._not_ready_since: dict[int, float] = {}  # when a draining or removed cache was found so
+        self._not_ready_since: dict[int, float] = {}  # by draining or removed cache: when this was received
         self.draining = self._closing = False
         self._tracer = tracer if tracer is not None and tracer.mode is not TraceMode.OFF else None
         self._target_latencies = (
@@ -419,7 +419,7 @@
             self._process_event(
                 i.CacheListUpdate(i.ListUpdateKind.CACHED, update.entries) if is_first_list else update
             )
-            # Unsent relays were decided for a cache that was ready, at its old address, since its old start.
+            # Unsent relays were decided when the cache was ready, at its old address, before its new start.
             self._withdraw_unsent(lambda _, relay: relay.cache in changed or relay.source in changed)
 
     def _withdraw_unsent(self, is_affected: Callable[[OpenPull, i.Relay], bool]) -> None:
@@ -606,7 +606,7 @@
     def _settle_pull(self, pull: OpenPull, kind: str = "settled") -> None:
         """Mark a pull as answered, and remove it if no relay is in flight.
 
-        Every final answer passes through here, just before it is written.
+        Every final answer passes through here, just before it is written; the trace gets `kind` as its end.
         """
         if pull.unanswered:
             COUNTERS.record_max("answer_past_cut_off_ms", self._resources.clock.now() - pull.deadline)
--- a/cometseam/routing/levels.py
+++ b/cometseam/routing/levels.py
@@ -108,7 +108,10 @@
             )
 
     def record_answer(self, pull: i.Pull, received_at: float, kind: str) -> None:
-        """Record a final answer as a signal, unless the level itself shed the pull."""
+        """Record a final answer as a signal.
+
+        Pulls that the level itself shed are only counted: they say nothing about the load.
+        """
         if kind == "shed" and self._front.load_shedder.shed_count != self._last_shed_count:
             self._last_shed_count = self._front.load_shedder.shed_count
             COUNTERS.add(f"levels.shed.{counter_label(self._controller.level_name)}")
--- a/cometseam/routing/messages.py
+++ b/cometseam/routing/messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client has sent a pull on `stream`, at `received_at` (ms)."""
+    """A client has sent a pull on `stream`; `received_at` is the earliest time it may have arrived."""
 
     client: Client
     stream: int
