--- a/cometseam/transport/buffers.py
+++ b/cometseam/transport/buffers.py
@@ -7,57 +7,57 @@
 from cometseam.counters import COUNTERS, check_invariant
 
 BUFFER_SIZE_BYTES = 32768  # an eighth of the largest message: small ones waste little, large ones take few
-ASK_AGAIN = 0.1  # s
+SHORTAGE_RETRY_S = 0.1  # s
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
 
 
 class BufferPool:
     """Lends buffers; their number is bounded by the memory they may take."""
 
-    def __init__(self, memory: int) -> None:
+    def __init__(self, memory_bytes: int) -> None:
         self._free: list[bytearray] = []
-        self._unmade = self.max_buffers = 0
-        self.resize(memory)
-        self._freed = anyio.Event()
-        self.on_shortage: Callable[[], None] = _nothing  # asks for room to be made
+        self._unallocated = self.max_buffers = 0
+        self.resize(memory_bytes)
+        self._buffer_released = anyio.Event()
+        self.on_shortage: Callable[[], None] = _do_nothing  # asks for room to be made
 
-    def resize(self, memory: int) -> None:
+    def resize(self, memory_bytes: int) -> None:
         """Change the bound; where more are lent, they are forgotten as they come back."""
-        most = max(memory // BUFFER_SIZE_BYTES, 2 * 8)
-        self._unmade += most - self.max_buffers
-        self.max_buffers = most
+        max_buffers = max(memory_bytes // BUFFER_SIZE_BYTES, 2 * 8)
+        self._unallocated += max_buffers - self.max_buffers
+        self.max_buffers = max_buffers
         self._trim()
 
     def _trim(self) -> None:
-        while self._unmade < 0 and self._free:
+        while self._unallocated < 0 and self._free:
             self._free.pop()
-            self._unmade += 1
+            self._unallocated += 1
 
     @property
     def in_use(self) -> int:
         """Tell how many are lent."""
-        return self.max_buffers - self._unmade - len(self._free)
+        return self.max_buffers - self._unallocated - len(self._free)
 
     def acquire(self) -> bytearray | None:
         """Lend one buffer."""
         if self._free:
             return self._free.pop()
-        if self._unmade <= 0:
+        if self._unallocated <= 0:
             return None
-        self._unmade -= 1
-        COUNTERS.record_max("buffers", self.max_buffers - self._unmade)
+        self._unallocated -= 1
+        COUNTERS.record_max("buffers", self.max_buffers - self._unallocated)
         return bytearray(BUFFER_SIZE_BYTES)
 
     def allocate(self, size: int) -> "MessageBuffer | None":
         """Lend room for a message of this size, or nothing where it can't be lent whole."""
         count = -(-size // BUFFER_SIZE_BYTES)
-        if count > len(self._free) + self._unmade:
+        if count > len(self._free) + self._unallocated:
             COUNTERS.add("buffers.short")
             self.on_shortage()
-        if count > len(self._free) + self._unmade:
+        if count > len(self._free) + self._unallocated:
             return None
         return MessageBuffer(
             self, [buffer for _ in range(count) if (buffer := self.acquire()) is not None], size
@@ -68,15 +68,15 @@
         self._free += buffers
         self._trim()
         check_invariant(self.in_use >= 0, "buffers come back once")
-        if not self._freed.is_set():
-            self._freed.set()
+        if not self._buffer_released.is_set():
+            self._buffer_released.set()
 
     async def wait(self) -> None:
         """Wait until a buffer comes back, or for so long that it is time to ask for room again."""
-        if self._freed.is_set():
-            self._freed = anyio.Event()
-        with anyio.move_on_after(ASK_AGAIN):
-            await self._freed.wait()
+        if self._buffer_released.is_set():
+            self._buffer_released = anyio.Event()
+        with anyio.move_on_after(SHORTAGE_RETRY_S):
+            await self._buffer_released.wait()
 
 
 class MessageBuffer:
@@ -90,15 +90,15 @@
 
     def write(self, data: memoryview) -> int:
         """Take in what is still missing, at most all of `data`, and tell how much that was."""
-        taken = min(self.size - self._filled, len(data))
-        at = 0
-        while at < taken:
-            place, offset = divmod(self._filled, BUFFER_SIZE_BYTES)
-            step = min(BUFFER_SIZE_BYTES - offset, taken - at)
-            self._buffers[place][offset : offset + step] = data[at : at + step]
-            at += step
-            self._filled += step
-        return taken
+        consumed = min(self.size - self._filled, len(data))
+        copied = 0
+        while copied < consumed:
+            buffer_index, offset = divmod(self._filled, BUFFER_SIZE_BYTES)
+            copy_size = min(BUFFER_SIZE_BYTES - offset, consumed - copied)
+            self._buffers[buffer_index][offset : offset + copy_size] = data[copied : copied + copy_size]
+            copied += copy_size
+            self._filled += copy_size
+        return consumed
 
     def is_complete(self) -> bool:
         """Tell whether nothing is missing any more."""
@@ -107,13 +107,13 @@
     def views(self, start: int = 0) -> list[memoryview]:
         """Return the bytes from `start` on, in pieces."""
         views = []
-        for place, buffer in enumerate(self._buffers):
-            low, high = (
-                max(start - place * BUFFER_SIZE_BYTES, 0),
-                min(self.size - place * BUFFER_SIZE_BYTES, BUFFER_SIZE_BYTES),
+        for buffer_index, buffer in enumerate(self._buffers):
+            first_byte, end_byte = (
+                max(start - buffer_index * BUFFER_SIZE_BYTES, 0),
+                min(self.size - buffer_index * BUFFER_SIZE_BYTES, BUFFER_SIZE_BYTES),
             )
-            if low < high:
-                views.append(memoryview(buffer)[low:high])
+            if first_byte < end_byte:
+                views.append(memoryview(buffer)[first_byte:end_byte])
         return views
 
     def free(self) -> None:
--- a/cometseam/transport/client.py
+++ b/cometseam/transport/client.py
@@ -29,14 +29,16 @@
 
 # By the protocol. What is unusable is told within 3 s of connecting: what has sent nothing whole, or part of
 # a frame, has a second less. Clients end what is idle for 4 s: what stays longer is in nobody's use.
-SENT = (FrameType.PULL, FrameType.HANG_UP, FrameType.READY)
+CLIENT_FRAME_TYPES = (FrameType.PULL, FrameType.HANG_UP, FrameType.READY)
 MAX_OPEN_PULLS = 32  # pulls open on a connection
-FIRST_WORD, IDLE = 2000.0, 4500.0  # ms
-LOOK = 0.25  # s between two looks for what has lasted too long
-ACCEPTED = 16  # connections taken in one turn of the loop
-SPARE = 16  # part of the places that those on their way out may have beside those that are served
-# ms by the protocol in which what a client sends may cross the end of its connection.
-CLOSE_CROSSING_MS = 50.0
+FRAME_TIMEOUT_MS = 2000.0
+IDLE_TIMEOUT_MS = 4500.0
+CHECK_INTERVAL_S = 0.25  # s between two looks for what has lasted too long
+MAX_ACCEPTS_PER_TURN = 16  # connections taken in one turn of the loop
+CLOSING_DIVISOR = 16  # part of the places that those on their way out may have beside those that are served
+CLOSE_CROSSING_MS = (
+    50.0  # ms by the protocol in which what a client sends may cross the end of its connection
+)
 
 
 class PullHandler(Protocol):
@@ -45,7 +47,7 @@
     def is_ready(self) -> bool:
         """Tell whether the front can serve."""
 
-    def submit_pull(self, client: "Client", stream: int, order: PullRequest) -> bool:
+    def submit_pull(self, client: "Client", stream: int, request: PullRequest) -> bool:
         """Take a pull in, and with it what its frame holds; False where there is no room for it now."""
 
     def hang_up(self, client: "Client", stream: int) -> None:
@@ -56,26 +58,31 @@
     """One connection of a client."""
 
     def __init__(
-        self, sock: socket.socket, pool: BufferPool, clock: Clock, pulls: PullHandler, address: str = ""
+        self,
+        sock: socket.socket,
+        pool: BufferPool,
+        clock: Clock,
+        pull_handler: PullHandler,
+        address: str = "",
     ) -> None:
         self.address = address_number(address)  # as a number: routes and budgets may go by it
         self._connection = Connection(sock, pool, clock)
         self._decoder = Decoder(pool.allocate)
-        self._clock, self._pulls = clock, pulls
-        self._open: set[int] = set()  # streams that are owed an answer
-        self._highest = 0
-        self._half_since = 0.0  # when the frame that is half read began; 0: there is none
-        self._spoke = False  # has sent a whole frame
+        self._clock, self._pull_handler = clock, pull_handler
+        self._open_streams: set[int] = set()  # streams that are owed an answer
+        self._highest_stream = 0
+        self._partial_frame_since = 0.0  # when the frame that is half read began; 0: there is none
+        self._has_sent_frame = False  # has sent a whole frame
         self.used_at = clock.now()  # when it last sent a whole frame or was answered
-        self._ending = False  # sent what can't be used: it ends when nothing is open on it any more
-        self._passed_over = 0  # bytes that came after that
-        self._came_at = clock.now()
-        self._ended_by = "the client"  # or why this program ended the connection
+        self._is_closing = False  # sent what can't be used: it ends when nothing is open on it any more
+        self._discarded_bytes = 0  # bytes that came after that
+        self._connected_at = clock.now()
+        self._close_reason = "the client"  # or why this program ended the connection
 
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing is owed on it or on its way out."""
-        return not self._open and not self._connection.is_write_blocked
+        return not self._open_streams and not self._connection.is_write_blocked
 
     @property
     def is_closable(self) -> bool:
@@ -85,44 +92,46 @@
     @property
     def is_drained(self) -> bool:
         """Tell whether nothing has come on it that is still to be answered."""
-        return self._ending or self.is_closable
+        return self._is_closing or self.is_closable
 
-    def is_evictable(self, greets_within: float) -> bool:
+    def is_evictable(self, first_pull_timeout: float) -> bool:
         """Tell whether it may give its place: the first pull of a new one may still be on its way."""
-        return self.is_closable and (self._spoke or self._came_at < self._clock.now() - greets_within)
+        return self.is_closable and (
+            self._has_sent_frame or self._connected_at < self._clock.now() - first_pull_timeout
+        )
 
-    def is_stalled(self, longest: float) -> bool:
+    def is_stalled(self, stall_timeout: float) -> bool:
         """Tell whether it has left an answer half read for longer than that."""
         if (
             self._connection.is_write_blocked
-            and self._connection.write_blocked_since < self._clock.now() - longest
+            and self._connection.write_blocked_since < self._clock.now() - stall_timeout
         ):
             self._connection.flush()  # this program may have stood still, and the client reads well
         return (
             self._connection.is_write_blocked
-            and self._connection.write_blocked_since < self._clock.now() - longest
+            and self._connection.write_blocked_since < self._clock.now() - stall_timeout
         )
 
     def is_overdue(self) -> bool:
         """Tell whether it has held a place for too long with nothing that is open."""
-        if self.is_idle and self._is_half():
+        if self.is_idle and self._is_frame_overdue():
             return True
-        if self._spoke:  # a frame that begins just then is waited for: `_is_half` bounds that
-            return self.is_closable and self.used_at < self._clock.now() - IDLE
-        silent = self.is_idle and not self._connection.has_input()
-        return silent and self.used_at < self._clock.now() - FIRST_WORD
+        if self._has_sent_frame:  # a frame that begins just then is waited for: `_is_half` bounds that
+            return self.is_closable and self.used_at < self._clock.now() - IDLE_TIMEOUT_MS
+        is_silent = self.is_idle and not self._connection.has_input()
+        return is_silent and self.used_at < self._clock.now() - FRAME_TIMEOUT_MS
 
-    def _is_half(self) -> bool:
+    def _is_frame_overdue(self) -> bool:
         """Tell whether a frame has been half read for too long, and not for want of room here."""
-        if self._connection.starved and self._half_since:
-            self._half_since = self._clock.now()
+        if self._connection.starved and self._partial_frame_since:
+            self._partial_frame_since = self._clock.now()
         # What lies unread may be its rest: after a stand-still of this program timers run first.
-        late = 0.0 < self._half_since < self._clock.now() - FIRST_WORD
-        return late and not self._connection.has_input()
+        is_late = 0.0 < self._partial_frame_since < self._clock.now() - FRAME_TIMEOUT_MS
+        return is_late and not self._connection.has_input()
 
     def reject_incomplete_frame(self) -> None:
         """Take no more from a client whose frame does not end; pulls open on it are still answered."""
-        if not self.is_idle and not self._ending and self._is_half():
+        if not self.is_idle and not self._is_closing and self._is_frame_overdue():
             self.reject_input(0, "a frame that does not end")
 
     async def run(self, draining: bool) -> None:
@@ -134,117 +143,119 @@
         finally:
             self._decoder.close()
             self._withdraw()
-            if self._ended_by != "the client":
-                log_event("client.ended", why=self._ended_by, pending=0)
+            if self._close_reason != "the client":
+                log_event("client.ended", why=self._close_reason, pending=0)
 
     def withdraw_if_disconnected(self) -> None:
         """Look whether the client has left, also where that is still unread; its pulls are withdrawn then."""
-        if self._open and self._connection.remote_has_closed():
+        if self._open_streams and self._connection.remote_has_closed():
             self._withdraw()
 
     def _withdraw(self) -> None:
-        if self._open:
-            log_event("client.ended", why=self._ended_by, pending=len(self._open))
-        for stream in sorted(self._open):
-            self._pulls.hang_up(self, stream)
-        self._open.clear()
+        if self._open_streams:
+            log_event("client.ended", why=self._close_reason, pending=len(self._open_streams))
+        for stream in sorted(self._open_streams):
+            self._pull_handler.hang_up(self, stream)
+        self._open_streams.clear()
 
     def awaits(self, stream: int) -> bool:
         """Tell whether an answer on this stream is still wanted."""
-        return stream in self._open
+        return stream in self._open_streams
 
     def send_no_more(self) -> None:
         """Say that no new pull should come on this connection."""
         self._connection.send([write_frame(FrameType.NO_MORE, 0)])
 
-    def close(self, why: str) -> None:
+    def close(self, reason: str) -> None:
         """End the connection at once: what is on its way out is lost."""
-        self._ended_by = why
+        self._close_reason = reason
         self._connection.close()
 
-    def close_gracefully(self, why: str) -> None:
+    def close_gracefully(self, reason: str) -> None:
         """End the connection, and take no more from it; what has been written reaches the client."""
-        self._ended_by = why
-        self._ending = True
+        self._close_reason = reason
+        self._is_closing = True
         self._connection.close_gracefully()
 
     def _feed(self, data: memoryview) -> int:
-        if self._ending:
+        if self._is_closing:
             # Past the bound it is not read while it is owed something: what it floods us with waits at its
             # side, and answers that are owed on it are not lost.
-            if self._passed_over > MAX_FRAME_LENGTH and not self.is_idle:
+            if self._discarded_bytes > MAX_FRAME_LENGTH and not self.is_idle:
                 return 0
-            self._passed_over += len(data)
+            self._discarded_bytes += len(data)
             return len(data)
         frames: list[Frame] = []
-        taken, lost = len(data), ""
+        consumed, error_text = len(data), ""
         try:
-            taken = self._decoder.feed(data, frames)
+            consumed = self._decoder.feed(data, frames)
         except ProtocolError as error:
-            lost = str(error)
+            error_text = str(error)
         if frames:
-            self._spoke, self.used_at = True, self._clock.now()
+            self._has_sent_frame, self.used_at = True, self._clock.now()
         for frame in frames:
-            if self._ending:
+            if self._is_closing:
                 frame.free()
             else:
-                self._take(frame)
-        if frames or not self._half_since:
-            self._half_since = self._clock.now() if self._decoder.has_partial_frame else 0.0
-        if lost and not self._ending:
-            self.reject_input(0, lost)
-        return len(data) if self._ending else taken
-
-    def _end_if_done(self) -> None:
-        if self._ending and self.is_idle:
+                self._handle_frame(frame)
+        if frames or not self._partial_frame_since:
+            self._partial_frame_since = self._clock.now() if self._decoder.has_partial_frame else 0.0
+        if error_text and not self._is_closing:
+            self.reject_input(0, error_text)
+        return len(data) if self._is_closing else consumed
+
+    def _close_if_done(self) -> None:
+        if self._is_closing and self.is_idle:
             self._connection.close_gracefully()
 
-    def _take(self, frame: Frame) -> None:
-        COUNTERS.add(f"client.frame.{frame.type}" if frame.type in SENT else "client.frame.unknown")
+    def _handle_frame(self, frame: Frame) -> None:
+        COUNTERS.add(
+            f"client.frame.{frame.type}" if frame.type in CLIENT_FRAME_TYPES else "client.frame.unknown"
+        )
         match frame.type:
             case FrameType.PULL:
-                self._take_pull(frame)
+                self._handle_pull(frame)
                 return
             case FrameType.HANG_UP:
-                if frame.stream in self._open:
-                    self._open.discard(frame.stream)
-                    self._pulls.hang_up(self, frame.stream)
+                if frame.stream in self._open_streams:
+                    self._open_streams.discard(frame.stream)
+                    self._pull_handler.hang_up(self, frame.stream)
             case FrameType.READY:
-                self._connection.send([write_readiness(frame.stream, self._pulls.is_ready())])
+                self._connection.send([write_readiness(frame.stream, self._pull_handler.is_ready())])
             case _:
                 self.reject_input(0, f"an unknown type {frame.type}")
         frame.free()
 
-    def _take_pull(self, frame: Frame) -> None:
+    def _handle_pull(self, frame: Frame) -> None:
         stream = frame.stream
-        if stream <= self._highest:
+        if stream <= self._highest_stream:
             self.reject_input(0, f"stream {stream} is not new")
             frame.free()
             return
-        self._highest = stream
+        self._highest_stream = stream
         try:
-            if len(self._open) >= MAX_OPEN_PULLS:
+            if len(self._open_streams) >= MAX_OPEN_PULLS:
                 raise ProtocolError("too many are open on this connection")
-            order = read_pull_request(frame)
+            request = read_pull_request(frame)
         except ProtocolError as error:
             self.reject_input(stream, str(error))
             frame.free()
             return
-        self._open.add(stream)
-        if not self._pulls.submit_pull(self, stream, order):
+        self._open_streams.add(stream)
+        if not self._pull_handler.submit_pull(self, stream, request):
             self.answer_shed(stream, 0.0)
             frame.free()
 
-    def reject_input(self, stream: int, why: str) -> None:
+    def reject_input(self, stream: int, reason: str) -> None:
         """Tell what can't be used, take no more from it, and end it when nothing is open on it any more.
 
         Guards the others against a client that floods, or sends the same again as soon as it is told.
         """
         COUNTERS.add("client.bad_input")
-        log_event("client.unusable", why=why)
-        self._ending, self._ended_by = True, "unusable input"
-        self._open.discard(stream)
-        self._connection.send([write_errored(stream, why)], lambda _: self._end_if_done())
+        log_event("client.unusable", why=reason)
+        self._is_closing, self._close_reason = True, "unusable input"
+        self._open_streams.discard(stream)
+        self._connection.send([write_errored(stream, reason)], lambda _: self._close_if_done())
 
     def answer_served(self, stream: int, copy_holds: bool, body: Body | None) -> None:
         """Answer a pull with its bytes; they are given back when they are written or can't be."""
@@ -256,26 +267,26 @@
         """Answer that trying again is harmless."""
         self._answer(stream, "shed", [write_shed(stream, come_back_in)])
 
-    def answer_errored(self, stream: int, why: str = "") -> None:
+    def answer_errored(self, stream: int, reason: str = "") -> None:
         """Answer that a pull was not done."""
-        self._answer(stream, "errored", [write_errored(stream, why)])
+        self._answer(stream, "errored", [write_errored(stream, reason)])
 
-    def _answer(self, stream: int, name: str, parts: list[Chunk], body: Body | None = None) -> None:
-        if stream not in self._open:  # nobody waits any more, and that is still to be handled
+    def _answer(self, stream: int, outcome: str, chunks: list[Chunk], body: Body | None = None) -> None:
+        if stream not in self._open_streams:  # nobody waits any more, and that is still to be handled
             COUNTERS.add("answer.hung_up")
             if body is not None:
                 body.free()
             return
-        self._open.discard(stream)
+        self._open_streams.discard(stream)
         self.used_at = self._clock.now()
 
-        def written(whole: bool) -> None:
+        def on_written(is_complete: bool) -> None:
             if body is not None:
                 body.free()
-            COUNTERS.add(f"answer.{name}" if whole else "answer.not_written")
-            self._end_if_done()
+            COUNTERS.add(f"answer.{outcome}" if is_complete else "answer.not_written")
+            self._close_if_done()
 
-        self._connection.send(parts, written)
+        self._connection.send(chunks, on_written)
 
 
 class Listener:
@@ -285,15 +296,15 @@
     """
 
     def __init__(
-        self, address: tuple[str, int], max_clients: int, pool: BufferPool, clock: Clock, pulls: PullHandler,
+        self, address: tuple[str, int], max_clients: int, pool: BufferPool, clock: Clock, pull_handler: PullHandler,
         first_pull_timeout: float = 0.0,
     ) -> None:  # fmt: skip
-        self.max_clients, self._pool, self._clock, self._pulls = max_clients, pool, clock, pulls
-        self._greets_within = first_pull_timeout  # ms by which a new connection's first pull has come
+        self.max_clients, self._pool, self._clock, self._pull_handler = max_clients, pool, clock, pull_handler
+        self._first_pull_timeout = first_pull_timeout  # ms by which a new connection's first pull has come
         self.clients: set[Client] = set()  # a client leaves when its connection has ended
         # Those that were ended, and when; they are still read to a bound. They hold descriptors: with
         # `clients` they are at most `_bound`, and the one that was ended first gives its place at once.
-        self._leaving: dict[Client, float] = {}
+        self._closing: dict[Client, float] = {}
         self._tasks: TaskGroup | None = None
         self._draining = False
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -310,32 +321,34 @@
                 await anyio.wait_readable(self._sock)
             except (anyio.ClosedResourceError, ValueError, OSError):
                 return  # by `begin_shutdown`
-            for _ in range(ACCEPTED):
-                taken = self.accept()
-                if taken is None:
+            for _ in range(MAX_ACCEPTS_PER_TURN):
+                accepted = self.accept()
+                if accepted is None:
                     await anyio.sleep(0.01)  # no place, or no descriptor: those that end make room
-                if not taken:
+                if not accepted:
                     break
 
     def accept(self) -> bool | None:
         """Take one connection in; False where none waits, None where there is no place for it now."""
         if self._tasks is None or self._sock.fileno() < 0:
             return False
-        places = len(self.clients) + len(self._leaving)
-        idlest = self._idlest() if places >= self.max_clients and not self._leaving else None
-        if places >= self.max_clients and idlest is None and not self._leaving:
+        connection_count = len(self.clients) + len(self._closing)
+        idle_client = (
+            self._longest_idle() if connection_count >= self.max_clients and not self._closing else None
+        )
+        if connection_count >= self.max_clients and idle_client is None and not self._closing:
             return None
-        if places >= self._bound:
+        if connection_count >= self._max_connections:
             # The descriptor is wanted now. Past the time in which what a client sent may cross the end, a
             # reset can destroy nothing any more.
-            ended_first, at = next(iter(self._leaving.items()), (None, 0.0))
-            if ended_first is None or self._clock.now() - at < CLOSE_CROSSING_MS:
+            oldest_closing, closing_since = next(iter(self._closing.items()), (None, 0.0))
+            if oldest_closing is None or self._clock.now() - closing_since < CLOSE_CROSSING_MS:
                 return None
-            del self._leaving[ended_first]
-            ended_first.close("its place is wanted")
+            del self._closing[oldest_closing]
+            oldest_closing.close("its place is wanted")
         try:
             sock, (address, *_) = self._sock.accept()
-            client = Client(sock, self._pool, self._clock, self._pulls, address)
+            client = Client(sock, self._pool, self._clock, self._pull_handler, address)
         except BlockingIOError:
             return False
         except (ConnectionAbortedError, InterruptedError):  # the next one may be waiting behind it
@@ -346,40 +359,40 @@
             log_event("client.not_accepted", why=str(error))
             return None
         COUNTERS.add("client.accepted")
-        if idlest is not None:
+        if idle_client is not None:
             COUNTERS.add("client.gave_place")
-            self._end(idlest, "gave its place")
+            self._close_client(idle_client, "gave its place")
         self.clients.add(client)
         COUNTERS.record_max("client.connections", len(self.clients))
         self._tasks.start_soon(self._serve, client)
         return True
 
     @property
-    def _bound(self) -> int:
+    def _max_connections(self) -> int:
         """Tell how many connections it may hold with those on their way out."""
-        return self.max_clients + max(self.max_clients // SPARE, 1)
+        return self.max_clients + max(self.max_clients // CLOSING_DIVISOR, 1)
 
-    def _idlest(self) -> Client | None:
+    def _longest_idle(self) -> Client | None:
         """Return the connection that has been idle longest, if there is one on which nothing is open."""
         by_age = sorted(self.clients, key=lambda client: client.used_at)
-        return next((client for client in by_age if client.is_evictable(self._greets_within)), None)
+        return next((client for client in by_age if client.is_evictable(self._first_pull_timeout)), None)
 
-    def _end(self, client: Client, why: str) -> None:
+    def _close_client(self, client: Client, reason: str) -> None:
         """End a connection; its descriptor is free when its client has seen that."""
         self.clients.discard(client)
-        self._leaving[client] = self._clock.now()
-        client.close_gracefully(why)
+        self._closing[client] = self._clock.now()
+        client.close_gracefully(reason)
 
     @property
     def is_empty(self) -> bool:
         """Tell whether no connection is left, not even one that has been ended and is still read."""
-        return not self.clients and not self._leaving
+        return not self.clients and not self._closing
 
     def begin_shutdown(self) -> None:
         """End all connections, and take no more in: the front ends. What has been written reaches clients."""
         anyio.notify_closing(self._sock)
         self._sock.close()
-        for client in [*self.clients, *self._leaving]:
+        for client in [*self.clients, *self._closing]:
             client.close_gracefully("the front ends")
 
     async def _serve(self, client: Client) -> None:
@@ -390,23 +403,23 @@
             log_event("client.failed", error)
         finally:
             self.clients.discard(client)
-            self._leaving.pop(client, None)
+            self._closing.pop(client, None)
 
-    async def close_overdue(self, longest: float) -> None:
+    async def close_overdue(self, stall_timeout: float) -> None:
         """End what holds a place or buffers for longer than it may, for ever."""
         while True:
-            await anyio.sleep(LOOK)
-            self.close_stalled(longest)
+            await anyio.sleep(CHECK_INTERVAL_S)
+            self.close_stalled(stall_timeout)
             for client in list(self.clients):
                 client.reject_incomplete_frame()
                 if client.is_overdue():
                     COUNTERS.add("client.overdue")
-                    self._end(client, "overdue")
+                    self._close_client(client, "overdue")
 
-    def close_stalled(self, longest: float) -> None:
+    def close_stalled(self, stall_timeout: float) -> None:
         """End the connections that have kept buffers busy for so long: others wait for these."""
         for client in list(self.clients):
-            if client.is_stalled(longest):
+            if client.is_stalled(stall_timeout):
                 COUNTERS.add("client.stalled")
                 client.close("stalled")  # its buffers are wanted at once, and it takes nothing
                 self.clients.discard(client)
--- a/cometseam/transport/clock.py
+++ b/cometseam/transport/clock.py
@@ -10,7 +10,9 @@
 from cometseam.counters import COUNTERS
 from cometseam.events import log_event
 
-GRID = 4.0  # ms within which what comes due is done in one turn of the loop; deadlines have 50
+TIMER_GRANULARITY_MS = (
+    4.0  # ms within which what comes due is done in one turn of the loop; deadlines have 50
+)
 
 
 class Clock:
@@ -42,10 +44,10 @@
 
     def cancel(self) -> None:
         """See to it that nothing is done."""
-        self.run = _nothing
+        self.run = _do_nothing
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
 
 
@@ -55,32 +57,34 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
-        self._order = count()
-        self._sooner = anyio.Event()
-        self._waits_for = 0.0
+        self._sequence = count()
+        self._earlier_timer = anyio.Event()
+        self._wakes_at = 0.0
 
     def call_at(self, due: float, run: Callable[[], None]) -> Timer:
         """Have something done at a time."""
         timer = Timer(due, run)
-        heappush(self._heap, (due, next(self._order), timer))
-        if due < self._waits_for - GRID:
-            self._sooner.set()
+        heappush(self._heap, (due, next(self._sequence), timer))
+        if due < self._wakes_at - TIMER_GRANULARITY_MS:
+            self._earlier_timer.set()
         return timer
 
     async def run(self) -> None:
         """Do what comes due, for ever."""
         while True:
             now = self._clock.now()
-            while self._heap and (self._heap[0][0] <= now or self._heap[0][2].run is _nothing):
+            while self._heap and (self._heap[0][0] <= now or self._heap[0][2].run is _do_nothing):
                 due, _, timer = heappop(self._heap)
-                if timer.run is not _nothing:
+                if timer.run is not _do_nothing:
                     COUNTERS.record_max("timer_late_ms", now - due)
                 try:
                     timer.run()
                 except Exception as error:
                     COUNTERS.add("timer.exception")
                     log_event("timer.failed", error)
-            self._waits_for = max(self._heap[0][0], now + GRID) if self._heap else now + 60000.0
-            self._sooner = anyio.Event()
-            with anyio.move_on_after(max(self._waits_for - self._clock.now(), 0.0) / 1000.0):
-                await self._sooner.wait()
+            self._wakes_at = (
+                max(self._heap[0][0], now + TIMER_GRANULARITY_MS) if self._heap else now + 60000.0
+            )
+            self._earlier_timer = anyio.Event()
+            with anyio.move_on_after(max(self._wakes_at - self._clock.now(), 0.0) / 1000.0):
+                await self._earlier_timer.wait()
--- a/cometseam/transport/peer.py
+++ b/cometseam/transport/peer.py
@@ -26,81 +26,85 @@
 from cometseam.transport.connection import Chunk, Connection
 from cometseam.transport.resources import RESUME_SETTLE_MS, ProcessResources
 
-PAST = 4  # times its streams: ids that a connection has done with and remembers, for answers that come again
+REMEMBERED_IDS_PER_STREAM = (
+    4  # times its streams: ids that a connection has done with and remembers, for answers that come again
+)
 # Parts of the time that a connection may take to come up: a silence after which it is asked whether it works,
 # and how long it may take to say so.
-SILENCE, REPLY = 0.5, 0.5
+SILENCE_FACTOR = 0.5
+REPLY_FACTOR = 0.5
 # Times the same: how long a doubted connection may send bytes of no whole answer, or the rest of an answer
 # come that nobody waits for any more (or as long again as it has taken so far, where that is longer).
-LAST_WORD = 2.0
+PARTIAL_ANSWER_FACTOR = 2.0
 
 
 # Errors that tell of this machine's own want (descriptors, memory, ports, routes), not of the endpoint; and
 # after how many ms a connection is tried again then.
-LOCAL = frozenset({
+LOCAL_ERRORS = frozenset({
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN,
     errno.ENETUNREACH,
 })  # fmt: skip
-TRY_AGAIN = 20.0
+LOCAL_RETRY_MS = 20.0
 
 
 class Channel:
     """One connection to the peer, coming up or open."""
 
-    def __init__(self, peer: "Peer", around: ProcessResources) -> None:
-        self._peer, self._around = peer, around
+    def __init__(self, peer: "Peer", resources: ProcessResources) -> None:
+        self._peer, self._resources = peer, resources
         self.connection: Connection | None = None
         self.attempts: dict[str, Attempt] = {}  # by id; one leaves when it has ended
         # By id: given up? past PAST the oldest leaves.
         self.recent_ids: OrderedDict[str, bool] = OrderedDict()
-        self.used_at = self._heard_at = self._busy_since = 0.0
-        self._sent = self._strays = 0  # relays written, and answers to none of those that are out
-        self._watch: Timer | None = None  # while relays are out
-        self._doubted = False  # silent: nothing new is sent until it is heard of
-        self._doubted_at = 0.0
-        self._inside_since = 0.0  # when the answer that is half read began; 0: there is none
-        self._unwanted = False  # nobody waits for that answer: nothing new is sent behind it
+        self.used_at = self._last_received_at = self._busy_since = 0.0
+        self._sent_count = self._stray_count = 0  # relays written, and answers to none of those that are out
+        self._silence_timer: Timer | None = None  # while relays are out
+        self._is_suspect = False  # silent: nothing new is sent until it is heard of
+        self._suspect_since = 0.0
+        self._partial_answer_since = 0.0  # when the answer that is half read began; 0: there is none
+        self._is_answer_unwanted = False  # nobody waits for that answer: nothing new is sent behind it
         self.closed_locally = False  # by this program, which has logged why
-        self._decoder = Decoder(around.pool.allocate)
+        self._decoder = Decoder(resources.pool.allocate)
 
     def is_usable(self) -> bool:
         """Tell whether relays may be sent over it."""
         usable = self.connection is not None and not self.connection.closed
-        return usable and not self._doubted and not self._unwanted
+        return usable and not self._is_suspect and not self._is_answer_unwanted
 
     def remote_has_closed(self) -> bool:
         """Tell whether the other side has ended it, as far as that shows and is not read yet."""
         return self.connection is not None and self.connection.remote_has_closed()
 
-    def load(self, id: str) -> tuple[bool, int] | None:
+    def load(self, request_id: str) -> tuple[bool, int] | None:
         """Tell how busy it is; None: it can't take a relay of this id."""
-        connection, out = self.connection, len(self.attempts)
-        if connection is None or not self.is_usable() or out >= self._around.links.max_streams:
+        connection, attempt_count = self.connection, len(self.attempts)
+        if connection is None or not self.is_usable() or attempt_count >= self._resources.links.max_streams:
             return None
-        if id in self.attempts or (
-            id in self.recent_ids and (self.recent_ids[id] or self._around.connections_per_peer > 1)
+        if request_id in self.attempts or (
+            request_id in self.recent_ids
+            and (self.recent_ids[request_id] or self._resources.connections_per_peer > 1)
         ):
             return None  # a late answer to the earlier relay, or a second one, would be taken for this one's
-        return connection.is_write_blocked, out
+        return connection.is_write_blocked, attempt_count
 
     async def run(self) -> None:
         """Connect, and read answers until the connection ends."""
         try:
             sock = await self._connect()
         except OSError as error:
-            if error.errno in LOCAL:
+            if error.errno in LOCAL_ERRORS:
                 COUNTERS.add("peer.local_failure")
                 log_event("peer.local_failure", peer=self._peer.name, why=str(error))
                 self._peer.channel_closed(self, was_connected=False, local_failure=True)
                 return
-            self._not_connected(error)
+            self._report_not_connected(error)
             return
         except Exception as error:  # whatever it is, no connection came up
-            self._not_connected(error)
+            self._report_not_connected(error)
             return
         COUNTERS.add("peer.connected")
-        self.connection = Connection(sock, self._around.pool, self._around.clock)
-        self.used_at = self._around.clock.now()
+        self.connection = Connection(sock, self._resources.pool, self._resources.clock)
+        self.used_at = self._resources.clock.now()
         try:
             self._peer.dispatch()
             await self.connection.run(self._feed)
@@ -114,11 +118,11 @@
                     "peer.connection_ended", peer=self._peer.name, why="by the peer", unanswered=unanswered
                 )
             self._decoder.close()
-            if self._watch is not None:
-                self._watch.cancel()
+            if self._silence_timer is not None:
+                self._silence_timer.cancel()
             self._peer.channel_closed(self, was_connected=True)
 
-    def _not_connected(self, error: Exception) -> None:
+    def _report_not_connected(self, error: Exception) -> None:
         COUNTERS.add("peer.not_connected")
         log_event("peer.not_connected", peer=self._peer.name, why=str(error))
         self._peer.channel_closed(self, was_connected=False)
@@ -127,7 +131,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
-            with anyio.fail_after(self._around.links.connect_timeout / 1000.0):
+            with anyio.fail_after(self._resources.links.connect_timeout / 1000.0):
                 try:
                     sock.connect(self._peer.address)
                 except BlockingIOError as error:
@@ -142,29 +146,33 @@
         return sock
 
     def _feed(self, data: memoryview) -> int:
-        self._heard_at = self._around.clock.now()
+        self._last_received_at = self._resources.clock.now()
         answers: list[Answer] = []
-        taken, unusable = len(data), ""
+        consumed, error_text = len(data), ""
         try:
-            taken = self._decoder.feed(data, answers)
+            consumed = self._decoder.feed(data, answers)
         except ProtocolError as error:
-            unusable = str(error)
+            error_text = str(error)
         if answers:
-            self._doubted = self._unwanted = False
+            self._is_suspect = self._is_answer_unwanted = False
         if not self._decoder.has_partial_answer:
-            self._inside_since = 0.0
-        elif answers or not self._inside_since:
-            self._inside_since = self._heard_at
+            self._partial_answer_since = 0.0
+        elif answers or not self._partial_answer_since:
+            self._partial_answer_since = self._last_received_at
         for answer in answers:
-            ask = self.attempts.get(answer.id)
-            if ask is not None and answer.is_not_modified and not _names(answer, ask.command.held_tag):
+            attempt = self.attempts.get(answer.id)
+            if (
+                attempt is not None
+                and answer.is_not_modified
+                and not _names_held_copy(answer, attempt.command.held_tag)
+            ):
                 # A copy is called current only where a cache has named that very copy.
-                unusable = "a client's copy that was not told of"
-            elif ask is not None:
+                error_text = "a client's copy that was not told of"
+            elif attempt is not None:
                 del self.attempts[answer.id]
                 self._remember(answer.id, given_up=False)
-                self.used_at = self._heard_at
-                self._peer.finish_attempt(ask, EndReason.ANSWERED, answer)
+                self.used_at = self._last_received_at
+                self._peer.finish_attempt(attempt, EndReason.ANSWERED, answer)
                 continue
             if answer.body is not None:
                 answer.body.free()
@@ -173,155 +181,174 @@
             elif answer.word != HELLO_REPLY:
                 # Guards the relays beside it: what nobody asked for says nothing against the others.
                 COUNTERS.add("peer.stray_answer")
-                self._strays += 1
-                if self._strays > self._sent + self._around.links.max_streams:
-                    unusable = "more answers than it was asked for"
-        if unusable:
+                self._stray_count += 1
+                if self._stray_count > self._sent_count + self._resources.links.max_streams:
+                    error_text = "more answers than it was asked for"
+        if error_text:
             COUNTERS.add("peer.bad_input")
-            log_event("peer.unusable", peer=self._peer.name, why=unusable)
+            log_event("peer.unusable", peer=self._peer.name, why=error_text)
             self.close("unusable input")
         self._peer.dispatch()
-        return taken
+        return consumed
 
-    def _remember(self, id: str, given_up: bool) -> None:
-        self.recent_ids[id] = given_up
-        if len(self.recent_ids) > PAST * self._around.links.max_streams:
+    def _remember(self, request_id: str, given_up: bool) -> None:
+        self.recent_ids[request_id] = given_up
+        if len(self.recent_ids) > REMEMBERED_IDS_PER_STREAM * self._resources.links.max_streams:
             self.recent_ids.popitem(last=False)
 
-    def _look(self) -> None:
+    def _check_silence(self) -> None:
         """Look whether the peer still works on what is out; it is looked at for as long as something is.
 
         Guards against a connection that stays open and is of no more use: what is out on it would only time
         out, each relay by itself. It harms where a peer stands still for so long and then goes on.
         """
-        self._watch = None
-        if not self.attempts or self._doubted or self.connection is None or self.connection.closed:
+        self._silence_timer = None
+        if not self.attempts or self._is_suspect or self.connection is None or self.connection.closed:
             return
-        silence = SILENCE * self._around.links.connect_timeout
-        due = max(self._heard_at, self._busy_since) + silence
-        now = self._around.clock.now()
-        if self._inside_since and now - self._inside_since > self._around.links.max_deadline:
+        silence_ms = SILENCE_FACTOR * self._resources.links.connect_timeout
+        due = max(self._last_received_at, self._busy_since) + silence_ms
+        now = self._resources.clock.now()
+        if (
+            self._partial_answer_since
+            and now - self._partial_answer_since > self._resources.links.max_deadline
+        ):
             # Guards against an answer that dribbles for ever: to the look above it is never silent.
             COUNTERS.add("peer.never_ends")
             self.close("an answer that does not end")
         elif due > now or self.connection.has_input():  # what is to be read is no silence
-            self._watch = self._around.timers.call_at(max(due, now + silence), self._look)
+            self._silence_timer = self._resources.timers.call_at(
+                max(due, now + silence_ms), self._check_silence
+            )
         elif self._decoder.has_partial_answer:
             COUNTERS.add("peer.stopped_short")
             self.close("an answer that stopped short")
         else:
-            self._doubt()
+            self._start_keep_alive_check()
 
-    def send(self, ask: Attempt) -> None:
+    def send(self, attempt: Attempt) -> None:
         """Write a relay."""
         assert self.connection is not None
-        now = self.used_at = self._around.clock.now()
+        now = self.used_at = self._resources.clock.now()
         if not self.attempts:
             self._busy_since = now
-        self.attempts[ask.command.id] = ask
-        ask.channel = self
-        self._sent += 1
-        if self._watch is None:
-            silence = SILENCE * self._around.links.connect_timeout
-            self._watch = self._around.timers.call_at(now + silence, self._look)
+        self.attempts[attempt.command.id] = attempt
+        attempt.channel = self
+        self._sent_count += 1
+        if self._silence_timer is None:
+            silence_ms = SILENCE_FACTOR * self._resources.links.connect_timeout
+            self._silence_timer = self._resources.timers.call_at(now + silence_ms, self._check_silence)
 
-        def written(whole: bool) -> None:
-            ask.written_at = self._around.clock.now() if whole else 0.0
+        def on_written(is_complete: bool) -> None:
+            attempt.written_at = self._resources.clock.now() if is_complete else 0.0
 
-        def begin() -> bool:
+        def may_begin() -> bool:
             # It has waited behind others: what was learnt meanwhile counts, as at `Peer.dispatch`.
-            now = self._around.clock.now()
-            is_settled = not self._around.write_wait()
-            if is_settled and ask.may_begin(now) and ask.outgoing is not None:
-                ask.outgoing.chunks[0] = self._head(ask, now)  # less time is left than when it was queued
+            now = self._resources.clock.now()
+            may_write = not self._resources.write_wait()
+            if may_write and attempt.may_begin(now) and attempt.outgoing is not None:
+                attempt.outgoing.chunks[0] = self._encode_head(
+                    attempt, now
+                )  # less time is left than when it was queued
                 return True
-            self.attempts.pop(ask.command.id, None)
-            self._peer.finish_attempt(ask, EndReason.UNSENT)
+            self.attempts.pop(attempt.command.id, None)
+            self._peer.finish_attempt(attempt, EndReason.UNSENT)
             return False
 
-        ask.on_begin()
-        parts: list[Chunk] = [self._head(ask, self._around.clock.now()), *ask.body, b"\r\n"]
-        ask.outgoing = self.connection.send(parts, written, begin)
+        attempt.on_begin()
+        chunks: list[Chunk] = [
+            self._encode_head(attempt, self._resources.clock.now()),
+            *attempt.body,
+            b"\r\n",
+        ]
+        attempt.outgoing = self.connection.send(chunks, on_written, may_begin)
 
     @staticmethod
-    def _head(ask: Attempt, now: float) -> bytes:
+    def _encode_head(attempt: Attempt, now: float) -> bytes:
         """Return what comes before an attempt's body; its deadline is what is left as it is written."""
-        size = sum(len(part) for part in ask.body)
-        return write_request(ask.command, ask.deadline - now, size)
+        size = sum(len(chunk) for chunk in attempt.body)
+        return write_request(attempt.command, attempt.deadline - now, size)
 
-    def withdraw(self, ask: Attempt) -> bool:
+    def withdraw(self, attempt: Attempt) -> bool:
         """Take a relay back, if nothing of it is written."""
-        if ask.outgoing is None or self.connection is None or not self.connection.withdraw(ask.outgoing):
+        if (
+            attempt.outgoing is None
+            or self.connection is None
+            or not self.connection.withdraw(attempt.outgoing)
+        ):
             return False
-        self.attempts.pop(ask.command.id, None)
+        self.attempts.pop(attempt.command.id, None)
         return True
 
-    def give_up(self, ask: Attempt) -> None:
+    def give_up(self, attempt: Attempt) -> None:
         """Write that a relay of which something is written is given up."""
         assert self.connection is not None
-        id = ask.command.id
+        id = attempt.command.id
         self.attempts.pop(id, None)
         self._decoder.discard(id)
-        half = self._decoder.partial_answer_id
-        if half is not None and half not in self.attempts and not self._unwanted:
-            self._pass_over()
-        if ask.written_at:
+        partial_id = self._decoder.partial_answer_id
+        if partial_id is not None and partial_id not in self.attempts and not self._is_answer_unwanted:
+            self._await_unwanted_answer()
+        if attempt.written_at:
             self._remember(id, given_up=True)
             self.connection.send([write_stop(id)])
         if self.connection.is_write_blocked:
             # A peer that takes no more bytes would hear of it too late; its end tells at once.
             self.close("an attempt given up behind unwritten bytes")
-        elif ask.written_at > self._heard_at:
-            self._doubt()
+        elif attempt.written_at > self._last_received_at:
+            self._start_keep_alive_check()
 
-    def _doubt(self) -> None:
+    def _start_keep_alive_check(self) -> None:
         """Ask whether a silent connection works: that of a machine that has vanished stays open."""
-        if self._doubted or self.connection is None:
+        if self._is_suspect or self.connection is None:
             return
-        self._doubted, self._doubted_at = True, self._around.clock.now()
+        self._is_suspect, self._suspect_since = True, self._resources.clock.now()
         COUNTERS.add("peer.doubted")
         self.connection.send([write_hello("alive")])
-        due = self._doubted_at + REPLY * self._around.links.connect_timeout
-        self._around.timers.call_at(due, self._end_doubt)
+        due = self._suspect_since + REPLY_FACTOR * self._resources.links.connect_timeout
+        self._resources.timers.call_at(due, self._finish_keep_alive_check)
 
-    def _end_doubt(self) -> None:
+    def _finish_keep_alive_check(self) -> None:
         """End a doubted connection that has said nothing; one that sends is looked at again, to a bound.
 
         Guards against one that is left doubted, so unusable, for ever: by an answer that does not end.
         """
-        if self._doubted and self.connection is not None and not self.connection.closed:
-            links, now = self._around.links, self._around.clock.now()
-            speaks = self.connection.has_input() or self._heard_at > self._doubted_at
-            if speaks and now - self._doubted_at < LAST_WORD * links.connect_timeout:
-                self._around.timers.call_at(now + REPLY * links.connect_timeout, self._end_doubt)
+        if self._is_suspect and self.connection is not None and not self.connection.closed:
+            links, now = self._resources.links, self._resources.clock.now()
+            has_received = self.connection.has_input() or self._last_received_at > self._suspect_since
+            if has_received and now - self._suspect_since < PARTIAL_ANSWER_FACTOR * links.connect_timeout:
+                self._resources.timers.call_at(
+                    now + REPLY_FACTOR * links.connect_timeout, self._finish_keep_alive_check
+                )
             else:
                 COUNTERS.add("peer.silent")
                 self.close("silent")
-        elif self.attempts and self._watch is None:
-            self._look()
+        elif self.attempts and self._silence_timer is None:
+            self._check_silence()
 
-    def _pass_over(self) -> None:
+    def _await_unwanted_answer(self) -> None:
         """Wait for the rest of an answer that nobody wants any more, to a bound."""
-        self._unwanted = True
-        began, now = self._inside_since, self._around.clock.now()
-        rest = max(LAST_WORD * self._around.links.connect_timeout, now - began)
+        self._is_answer_unwanted = True
+        partial_since, now = self._partial_answer_since, self._resources.clock.now()
+        wait_ms = max(PARTIAL_ANSWER_FACTOR * self._resources.links.connect_timeout, now - partial_since)
 
-        def look() -> None:
-            if self._unwanted and self._inside_since == began:
+        def close_if_unfinished() -> None:
+            if self._is_answer_unwanted and self._partial_answer_since == partial_since:
                 COUNTERS.add("peer.never_ends")
                 self.close("an unwanted answer that does not end")
 
-        self._around.timers.call_at(now + rest, look)
+        self._resources.timers.call_at(now + wait_ms, close_if_unfinished)
 
     def close(self, why: str) -> None:
         """End the connection, and with it all that is out on it."""
         if self.connection is not None and not self.connection.closed:
             self.closed_locally = True
-            log_event("peer.connection_ended", peer=self._peer.name, why=why, unanswered=len(self.attempts))
+            log_event(
+                "peer.connection_ended", peer=self._peer.name, why=why, unanswered=len(self.attempts)
+            )
             self.connection.close()
 
 
-def _names(answer: Answer, held_tag: str) -> bool:
+def _names_held_copy(answer: Answer, held_tag: str) -> bool:
     """Tell whether an answer names the copy that the client holds."""
     return bool(held_tag) and answer.tag == held_tag
 
@@ -338,8 +365,8 @@
     end_counts: Counter[str] = field(default_factory=Counter)  # how relays to it ended; gone with the peer
     _channels: list[Channel] = field(default_factory=list)
     _waiting: list[Attempt] = field(default_factory=list)  # for a connection; each leaves by its own time-out
-    _out: dict[int, Attempt] = field(default_factory=dict)  # by pull
-    _settling: bool = False
+    _in_flight: dict[int, Attempt] = field(default_factory=dict)  # by pull
+    _is_settling: bool = False
     _tasks: TaskGroup | None = None
 
     async def run(self) -> None:
@@ -350,7 +377,7 @@
                 message = await self.mailbox.take()
                 try:
                     if isinstance(message, Attempt):
-                        self._ask(message)
+                        self._start_attempt(message)
                     else:
                         self._give_up(message)
                 except Exception as error:
@@ -362,79 +389,91 @@
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing is out or waits."""
-        return not self._out and not len(self.mailbox)
-
-    def _ask(self, ask: Attempt) -> None:
-        check_invariant(ask.pull_number not in self._out, "one relay of a pull out at a time")
-        self._out[ask.pull_number] = ask
-        ask.timer = self.resources.timers.call_at(ask.deadline, lambda: self._stop(ask, EndReason.TIMED_OUT))
-        if ask.begin_by < ask.deadline:  # it may wait behind others, on a connection that takes no bytes
-            self.resources.timers.call_at(ask.begin_by, lambda: self._give_up(GiveUp(ask, if_unsent=True)))
-        self._waiting.append(ask)
+        return not self._in_flight and not len(self.mailbox)
+
+    def _start_attempt(self, attempt: Attempt) -> None:
+        check_invariant(attempt.pull_number not in self._in_flight, "one relay of a pull out at a time")
+        self._in_flight[attempt.pull_number] = attempt
+        attempt.timer = self.resources.timers.call_at(
+            attempt.deadline, lambda: self._stop_attempt(attempt, EndReason.TIMED_OUT)
+        )
+        if (
+            attempt.begin_by < attempt.deadline
+        ):  # it may wait behind others, on a connection that takes no bytes
+            self.resources.timers.call_at(
+                attempt.begin_by, lambda: self._give_up(GiveUp(attempt, if_unsent=True))
+            )
+        self._waiting.append(attempt)
         self.dispatch()
 
     def _give_up(self, message: GiveUp) -> None:
-        ask = message.attempt
-        if self._out.get(ask.pull_number) is not ask:
+        attempt = message.attempt
+        if self._in_flight.get(attempt.pull_number) is not attempt:
             return
-        begun = ask.outgoing is not None and (ask.outgoing.begun or ask.written_at)
-        if not (message.if_unsent and begun):
-            self._stop(ask, EndReason.GIVEN_UP)
+        has_begun = attempt.outgoing is not None and (attempt.outgoing.begun or attempt.written_at)
+        if not (message.if_unsent and has_begun):
+            self._stop_attempt(attempt, EndReason.GIVEN_UP)
         else:
-            ask.wanted = False  # should its connection break before it is written whole, it is decided anew
+            attempt.wanted = (
+                False  # should its connection break before it is written whole, it is decided anew
+            )
 
     def dispatch(self) -> None:
         """Give what waits to connections; bring another up where all that are open are at work."""
         if not self._waiting:
             return
         if wait := self.resources.write_wait():
-            if not self._settling:
-                self._settling = True
+            if not self._is_settling:
+                self._is_settling = True
                 now = self.resources.clock.now()
-                self.resources.timers.call_at(now + min(wait, RESUME_SETTLE_MS), self._settled)
+                self.resources.timers.call_at(now + min(wait, RESUME_SETTLE_MS), self._end_settling)
             return
         # A peer closes what is idle: what is written just then would be lost.
         links = self.resources.links
         now = self.resources.clock.now()
-        fresh = now - (links.idle_timeout - links.connect_timeout)
+        idle_since_limit = now - (links.idle_timeout - links.connect_timeout)
         for channel in self._channels[:]:
-            if not channel.attempts and channel.connection and channel.used_at < fresh:
+            if not channel.attempts and channel.connection and channel.used_at < idle_since_limit:
                 channel.close("idle")
-        waiting, self._waiting, share = self._waiting, [], self.resources.connections_per_peer
-        for ask in waiting:
+        waiting, self._waiting, max_channels = self._waiting, [], self.resources.connections_per_peer
+        for attempt in waiting:
             # Every relay passes here just before it is written, however long it has waited for a connection.
-            if not ask.may_begin(now):
-                self.finish_attempt(ask, EndReason.UNSENT)
+            if not attempt.may_begin(now):
+                self.finish_attempt(attempt, EndReason.UNSENT)
                 continue
-            best, least, coming = self._choose(ask)
+            best, least_load, is_connecting = self._choose_channel(attempt)
             # Guards against a relay written whole to a connection whose end lies unread: it might have run.
             while best is not None and not best.attempts and best.remote_has_closed():
                 COUNTERS.add("peer.had_left")
                 best.close("its end lies unread")
-                best, least, coming = self._choose(ask)
-            if least >= (False, links.max_streams // 8) and not coming and len(self._channels) < share:
-                self._open()
+                best, least_load, is_connecting = self._choose_channel(attempt)
+            if (
+                least_load >= (False, links.max_streams // 8)
+                and not is_connecting
+                and len(self._channels) < max_channels
+            ):
+                self._open_channel()
             if best is not None:
-                best.send(ask)
+                best.send(attempt)
             else:
-                self._waiting.append(ask)
+                self._waiting.append(attempt)
 
-    def _settled(self) -> None:
-        self._settling = False
+    def _end_settling(self) -> None:
+        self._is_settling = False
         self.dispatch()
 
-    def _choose(self, ask: Attempt) -> tuple["Channel | None", tuple[bool, int], bool]:
+    def _choose_channel(self, attempt: Attempt) -> tuple["Channel | None", tuple[bool, int], bool]:
         """Return the least busy connection that can take a relay, how busy, and whether one comes up."""
         best: Channel | None = None
-        least, coming = (True, self.resources.links.max_streams), False
+        least_load, is_connecting = (True, self.resources.links.max_streams), False
         for channel in self._channels:
-            load = channel.load(ask.command.id)
-            if load is not None and load < least:
-                best, least = channel, load
-            coming = coming or channel.connection is None
-        return best, least, coming
+            load = channel.load(attempt.command.id)
+            if load is not None and load < least_load:
+                best, least_load = channel, load
+            is_connecting = is_connecting or channel.connection is None
+        return best, least_load, is_connecting
 
-    def _open(self) -> None:
+    def _open_channel(self) -> None:
         assert self._tasks is not None
         channel = Channel(self, self.resources)
         self._channels.append(channel)
@@ -444,42 +483,42 @@
     def channel_closed(self, channel: Channel, was_connected: bool, local_failure: bool = False) -> None:
         """A connection has ended or did not come up; `local_failure`: by no fault of the endpoint."""
         self._channels.remove(channel)
-        asks, channel.attempts = list(channel.attempts.values()), {}
-        for ask in asks:
-            if ask.written_at:
-                self.finish_attempt(ask, EndReason.BROKEN)
-            elif ask.requeued or not ask.wanted:
-                self.finish_attempt(ask, EndReason.UNSENT)
+        attempts, channel.attempts = list(channel.attempts.values()), {}
+        for attempt in attempts:
+            if attempt.written_at:
+                self.finish_attempt(attempt, EndReason.BROKEN)
+            elif attempt.requeued or not attempt.wanted:
+                self.finish_attempt(attempt, EndReason.UNSENT)
             else:  # a connection that breaks when new or idle tells nothing of the peer: it takes another
-                ask.channel, ask.outgoing, ask.requeued = None, None, True
-                self._waiting.append(ask)
+                attempt.channel, attempt.outgoing, attempt.requeued = None, None, True
+                self._waiting.append(attempt)
         if was_connected:
             self.dispatch()
         elif local_failure:  # what waits goes on waiting, to its own end
-            self.resources.timers.call_at(self.resources.clock.now() + TRY_AGAIN, self.dispatch)
+            self.resources.timers.call_at(self.resources.clock.now() + LOCAL_RETRY_MS, self.dispatch)
         elif not any(channel.is_usable() for channel in self._channels):
-            for ask in list(self._waiting):
-                self.finish_attempt(ask, EndReason.UNCONNECTED)
+            for attempt in list(self._waiting):
+                self.finish_attempt(attempt, EndReason.UNCONNECTED)
 
-    def _stop(self, ask: Attempt, how: EndReason) -> None:
+    def _stop_attempt(self, attempt: Attempt, reason: EndReason) -> None:
         """Give a relay up: that is written before its end is told, so before the pull's next is sent."""
-        if ask.channel is None or ask.channel.withdraw(ask):
-            self.finish_attempt(ask, EndReason.UNSENT)
+        if attempt.channel is None or attempt.channel.withdraw(attempt):
+            self.finish_attempt(attempt, EndReason.UNSENT)
         else:
-            whole = bool(ask.written_at)
-            ask.channel.give_up(ask)
-            self.finish_attempt(ask, how if whole else EndReason.UNCONNECTED)
+            is_written = bool(attempt.written_at)
+            attempt.channel.give_up(attempt)
+            self.finish_attempt(attempt, reason if is_written else EndReason.UNCONNECTED)
 
-    def finish_attempt(self, ask: Attempt, how: EndReason, answer: Answer | None = None) -> None:
+    def finish_attempt(self, attempt: Attempt, reason: EndReason, answer: Answer | None = None) -> None:
         """Tell that a relay has ended."""
-        if self._out.get(ask.pull_number) is not ask:
+        if self._in_flight.get(attempt.pull_number) is not attempt:
             return
-        del self._out[ask.pull_number]
-        if ask.timer is not None:
-            ask.timer.cancel()
-        if ask.channel is None and ask in self._waiting:
-            self._waiting.remove(ask)
-        self.on_attempt_ended(AttemptEnded(ask, how, answer))
+        del self._in_flight[attempt.pull_number]
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        if attempt.channel is None and attempt in self._waiting:
+            self._waiting.remove(attempt)
+        self.on_attempt_ended(AttemptEnded(attempt, reason, answer))
 
     def stop(self) -> None:
         """End the actor and its connections."""
--- a/cometseam/transport/probe.py
+++ b/cometseam/transport/probe.py
@@ -6,7 +6,7 @@
 from cometseam.protocol.resp import HELLO_REPLY, Answer, Decoder, DiscardedBody, write_hello
 
 
-async def probe(address: tuple[str, int], within: float) -> bool:
+async def probe(address: tuple[str, int], timeout_ms: float) -> bool:
     """Return whether the cache at `address` said within `within` ms that it works.
 
     A cache that takes the connection and says nothing does not work; nor does one that answers anything else
@@ -14,7 +14,7 @@
     """
     answers: list[Answer] = []
     decoder = Decoder(lambda size: DiscardedBody(size))
-    with anyio.move_on_after(within / 1000.0):
+    with anyio.move_on_after(timeout_ms / 1000.0):
         try:
             async with await anyio.connect_tcp(*address) as stream:
                 await stream.send(write_hello("probe"))
--- a/cometseam/transport/resources.py
+++ b/cometseam/transport/resources.py
@@ -10,7 +10,9 @@
 # ms by which the loop is late where the process has stood still; ms after that in which nothing new is
 # written, as what clients and discovery sent meanwhile (withdrawals, drains) is read first; and ms in which
 # a request that is read may have come while the process stood still.
-STAND_STILL, RESUME_SETTLE_MS, READ_UNTIL = 50.0, 8.0, 30.0
+PAUSE_THRESHOLD_MS = 50.0
+RESUME_SETTLE_MS = 8.0
+RESUME_READ_MS = 30.0
 LAG_SAMPLE_INTERVAL_MS = 50.0  # ms between two measurements of the loop's lag
 
 
@@ -34,8 +36,8 @@
     def record_loop_lag(self, lag: float) -> None:
         """Take in by how many ms the loop came late to what was due."""
         now = self.clock.now()
-        if lag > STAND_STILL and now >= self.resumed_at + READ_UNTIL:
-            self._resume(now, lag)
+        if lag > PAUSE_THRESHOLD_MS and now >= self.resumed_at + RESUME_READ_MS:
+            self._record_pause(now, lag)
         self.sampled_at = now
 
     def write_wait(self) -> float:
@@ -56,18 +58,18 @@
         """Return the earliest time at which what is read now can have arrived."""
         self.detect_process_pause()
         now = self.clock.now()
-        return now - self.pause_duration if now < self.resumed_at + READ_UNTIL else now
+        return now - self.pause_duration if now < self.resumed_at + RESUME_READ_MS else now
 
     def detect_process_pause(self) -> None:
         """Look for a stand-still here as well: sockets may come before the timer of the next sample."""
         now = self.clock.now()
-        if now - self.sampled_at > LAG_SAMPLE_INTERVAL_MS + STAND_STILL:
-            lasted, self.sampled_at = now - self.sampled_at, now
-            self._resume(now, lasted)
+        if now - self.sampled_at > LAG_SAMPLE_INTERVAL_MS + PAUSE_THRESHOLD_MS:
+            pause_duration, self.sampled_at = now - self.sampled_at, now
+            self._record_pause(now, pause_duration)
 
-    def _resume(self, now: float, lasted: float) -> None:
-        self.resumed_at, self.pause_duration = now, lasted
-        self.on_resume(lasted)
+    def _record_pause(self, now: float, pause_duration: float) -> None:
+        self.resumed_at, self.pause_duration = now, pause_duration
+        self.on_resume(pause_duration)
 
     @property
     def connections_per_peer(self) -> int:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -64,4 +64,4 @@
         await here.news.until(lambda: second.written_at)
         passed_on = int(bytes(got).rpartition(b"ttl=")[2].split(b",")[0].split(b"\r")[0])
         assert passed_on <= 2600 + SLACK
-        here.peer._stop(first, "given_up")  # type: ignore[arg-type]
+        here.peer._stop_attempt(first, "given_up")  # type: ignore[arg-type]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -217,7 +217,7 @@
         assert await here.ended() == [EndReason.UNSENT]
         go.set()
         await here.news.until(lambda: len(got) > BIG)
-        here.peer._stop(first, EndReason.GIVEN_UP)
+        here.peer._stop_attempt(first, EndReason.GIVEN_UP)
         assert f"{2:016x}".encode() not in got
 
 
@@ -386,7 +386,7 @@
         await here.start()
         first = here.ask(1)
         asked = await here.cache.next()
-        here.peer._stop(first, EndReason.TIMED_OUT)
+        here.peer._stop_attempt(first, EndReason.TIMED_OUT)
         await asked.answer("DONE", f"tag={TAG},minted=1", b"late")
         second = here.ask(2)
         other = await here.cache.next()
@@ -394,7 +394,7 @@
             other = await here.cache.next()
         await other.answer("DONE", f"tag={TAG},minted=1", b"in time")
         await here.news.until(lambda: len(here.ends) == 2)
-        here.peer._stop(second, EndReason.TIMED_OUT)  # its answer came first
+        here.peer._stop_attempt(second, EndReason.TIMED_OUT)  # its answer came first
         assert [end.reason for end in here.ends] == [EndReason.TIMED_OUT, EndReason.ANSWERED]
         answer = here.ends[1].answer
         assert answer is not None and answer.body is not None
@@ -737,7 +737,7 @@
             sending.start_soon(send)
             await pulls.news.until(lambda: pulls.taken and sent > 300_000)
             (client, stream) = pulls.taken[0]
-            await pulls.news.until(lambda: client._passed_over > 262144)  # the bound is past
+            await pulls.news.until(lambda: client._discarded_bytes > 262144)  # the bound is past
             await turns()
             assert client in listener.clients and client.awaits(stream) and not pulls.left
             body = Whole(240_000)
@@ -789,7 +789,7 @@
         while not client.is_closable:
             await anyio.wait_readable(sock)
             got += sock.recv(4096)
-        listener._end(client, "overdue")
+        listener._close_client(client, "overdue")
         sock.send(order(2))  # after the look, before the client sees the end
         rest, clean = await read_all(sock)
         assert clean and (got + rest).endswith(body.bytes) and len(pulls.taken) == 1
@@ -803,9 +803,9 @@
         sock.send(order(1) + order(2)[:20])
         await pulls.news.until(lambda: pulls.taken)
         client, stream = pulls.taken[0]
-        while not client._half_since:
+        while not client._partial_frame_since:
             await turns()
-        client._half_since -= 2500.0  # as long ago as is too long
+        client._partial_frame_since -= 2500.0  # as long ago as is too long
         client.reject_incomplete_frame()
         assert not client.is_overdue() and client.awaits(stream)
         client.answer_shed(stream, 0.0)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -242,7 +242,7 @@
             await turns(1)
         second = here.ask(2, begin_by=30.0)
         assert await here.ended() == [EndReason.UNSENT] and here.ends[0].attempt is second
-        here.peer._stop(first, EndReason.GIVEN_UP)
+        here.peer._stop_attempt(first, EndReason.GIVEN_UP)
         taker.close()
 
 
@@ -297,12 +297,12 @@
         clock.at += 1.0
         assert await accepted(listener)  # the first gives its place, and is on its way out
         await turns()
-        assert len(listener.clients) == 1 and len(listener._leaving) == 1
+        assert len(listener.clients) == 1 and len(listener._closing) == 1
         clock.at += 1.0
         assert listener.accept() is None  # what the first sends may still cross its end
         clock.at += CLOSE_CROSSING_MS
         assert await accepted(listener)  # now its descriptor is wanted
-        assert len(listener.clients) + len(listener._leaving) <= listener._bound == 2
+        assert len(listener.clients) + len(listener._closing) <= listener._max_connections == 2
         for sock in socks:
             sock.close()
         listener.begin_shutdown()
--- a/tests/test_timers_first.py
+++ b/tests/test_timers_first.py
@@ -73,7 +73,7 @@
             while not ask.written_at and not here.ends:
                 await turns()
             assert waits == 1 and not here.ends and cache.recv(64)
-            here.peer._stop(ask, EndReason.GIVEN_UP)
+            here.peer._stop_attempt(ask, EndReason.GIVEN_UP)
 
 
 async def test_a_frame_whose_rest_lies_unread_does_not_end_its_connection() -> None:
@@ -83,10 +83,10 @@
         while not listener.clients:
             await turns()
         (client,) = listener.clients
-        while not client._half_since:
+        while not client._partial_frame_since:
             await turns()
         sock.send(raw[20:])
-        client._half_since -= 2500.0  # the front has stood still meanwhile
+        client._partial_frame_since -= 2500.0  # the front has stood still meanwhile
         assert not client.is_overdue()
         client.reject_incomplete_frame()
         await pulls.news.until(lambda: pulls.taken)
