--- a/cometseam/transport/attempt.py
+++ b/cometseam/transport/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an endpoint: what its connection is told, and how it ended."""
+"""A relay attempt at an endpoint: the messages to the endpoint's actor, and how the attempt ended."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,19 +14,19 @@
 
 
 class EndReason(StrEnum):
-    """How a relay ended."""
+    """Why a relay ended."""
 
     ANSWERED = "answered"
-    UNSENT = "unsent"  # given up before any of it was written: it never ran
-    UNCONNECTED = "unconnected"  # no connection came up, or it broke before the relay was written whole
-    BROKEN = "broken"  # the connection broke after it was written whole
+    UNSENT = "unsent"  # given up before any byte of it was written: the endpoint never ran it
+    UNCONNECTED = "unconnected"  # no connection was established, or it broke before all was written
+    BROKEN = "broken"  # the connection broke after the relay was fully written
     TIMED_OUT = "timed_out"
     GIVEN_UP = "given_up"
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A relay to be sent: one is out for a pull at a time."""
+    """A relay to be sent; a pull has at most one in flight. All times are in ms of `Clock`."""
 
     pull_number: int
     relay_index: int
@@ -37,24 +37,25 @@
     timer: Timer | None = None
     channel: "Channel | None" = None
     outgoing: OutgoingMessage | None = None
-    written_at: float = 0.0  # 0: not written whole
-    requeued: bool = False  # the connection it was to go over broke before it was written whole
-    # Cleared where its pull has its final answer or its client has left, or it was decided before a drain, a
-    # purge or a new start: from then on no byte of it is written anew.
+    written_at: float = 0.0  # 0: not fully written
+    requeued: bool = False  # its first connection broke before it was fully written
+    # Cleared when its pull has its final answer, its client has left, or the endpoint was chosen before a
+    # drain, a purge or a restart of it: after that its transmission is neither started nor restarted.
     wanted: bool = True
-    # Looked at just before its first byte is written: whether its client still waits; until when it may be.
+    # Both are checked just before its first byte is written: whether its client still waits, and the latest
+    # time at which it may begin.
     is_client_waiting: Callable[[], bool] = field(default=lambda: True)
     begin_by: float = float("inf")
-    on_begin: Callable[[], None] = field(default=lambda: None)  # told just before its first byte is written
+    on_begin: Callable[[], None] = field(default=lambda: None)  # called just before its first byte is written
 
     def may_begin(self, now: float) -> bool:
-        """Tell whether it may be written: for a client that still waits, while a repeat of it is dropped."""
+        """Return whether writing may begin: its client waits, and a repeat would still be deduplicated."""
         return self.is_client_waiting() and self.wanted and now <= self.begin_by
 
 
 @dataclass(slots=True)
 class GiveUp:
-    """Stop waiting for a relay, or take it back only if nothing of it is written yet."""
+    """Give a relay up; with `if_unsent`, only if no byte of it has been written."""
 
     attempt: Attempt
     if_unsent: bool = False
--- a/cometseam/transport/buffers.py
+++ b/cometseam/transport/buffers.py
@@ -1,4 +1,4 @@
-"""Buffers of one size, made when first needed and used again."""
+"""A bounded pool of fixed-size buffers, which are allocated on first use and reused."""
 
 from collections.abc import Callable
 
@@ -6,8 +6,9 @@
 
 from cometseam.counters import COUNTERS, check_invariant
 
-BUFFER_SIZE_BYTES = 32768  # an eighth of the largest message: small ones waste little, large ones take few
-SHORTAGE_RETRY_S = 0.1  # s
+# An eighth of the largest message: small messages waste little, large ones need few buffers.
+BUFFER_SIZE_BYTES = 32768
+SHORTAGE_RETRY_S = 0.1
 
 
 def _do_nothing() -> None:
@@ -15,17 +16,17 @@
 
 
 class BufferPool:
-    """Lends buffers; their number is bounded by the memory they may take."""
+    """Hands out buffers; their number is bounded by the memory that they may use."""
 
     def __init__(self, memory_bytes: int) -> None:
         self._free: list[bytearray] = []
         self._unallocated = self.max_buffers = 0
         self.resize(memory_bytes)
         self._buffer_released = anyio.Event()
-        self.on_shortage: Callable[[], None] = _do_nothing  # asks for room to be made
+        self.on_shortage: Callable[[], None] = _do_nothing  # called to have buffers freed
 
     def resize(self, memory_bytes: int) -> None:
-        """Change the bound; where more are lent, they are forgotten as they come back."""
+        """Change the memory bound; surplus buffers in use are discarded when they are released."""
         max_buffers = max(memory_bytes // BUFFER_SIZE_BYTES, 2 * 8)
         self._unallocated += max_buffers - self.max_buffers
         self.max_buffers = max_buffers
@@ -38,11 +39,11 @@
 
     @property
     def in_use(self) -> int:
-        """Tell how many are lent."""
+        """Return how many buffers are in use."""
         return self.max_buffers - self._unallocated - len(self._free)
 
     def acquire(self) -> bytearray | None:
-        """Lend one buffer."""
+        """Return a buffer, or None if the pool is exhausted."""
         if self._free:
             return self._free.pop()
         if self._unallocated <= 0:
@@ -52,7 +53,7 @@
         return bytearray(BUFFER_SIZE_BYTES)
 
     def allocate(self, size: int) -> "MessageBuffer | None":
-        """Lend room for a message of this size, or nothing where it can't be lent whole."""
+        """Return buffers for a message of `size` bytes, or None where there are not enough for all of it."""
         count = -(-size // BUFFER_SIZE_BYTES)
         if count > len(self._free) + self._unallocated:
             COUNTERS.add("buffers.short")
@@ -64,7 +65,7 @@
         )
 
     def release(self, buffers: list[bytearray]) -> None:
-        """Take lent buffers back."""
+        """Return buffers to the pool."""
         self._free += buffers
         self._trim()
         check_invariant(self.in_use >= 0, "buffers come back once")
@@ -72,7 +73,7 @@
             self._buffer_released.set()
 
     async def wait(self) -> None:
-        """Wait until a buffer comes back, or for so long that it is time to ask for room again."""
+        """Wait until a buffer is released, at most `SHORTAGE_RETRY_S`; the caller then tries again."""
         if self._buffer_released.is_set():
             self._buffer_released = anyio.Event()
         with anyio.move_on_after(SHORTAGE_RETRY_S):
@@ -80,7 +81,7 @@
 
 
 class MessageBuffer:
-    """Room for one message, in buffers of the pool."""
+    """Storage for one message, in buffers of the pool."""
 
     __slots__ = ("_buffers", "_filled", "_pool", "size")
 
@@ -89,7 +90,7 @@
         self._filled = 0
 
     def write(self, data: memoryview) -> int:
-        """Take in what is still missing, at most all of `data`, and tell how much that was."""
+        """Copy as much of `data` as the message still lacks; return how many bytes that was."""
         consumed = min(self.size - self._filled, len(data))
         copied = 0
         while copied < consumed:
@@ -101,11 +102,11 @@
         return consumed
 
     def is_complete(self) -> bool:
-        """Tell whether nothing is missing any more."""
+        """Return whether all bytes of the message have been written."""
         return self._filled == self.size
 
     def views(self, start: int = 0) -> list[memoryview]:
-        """Return the bytes from `start` on, in pieces."""
+        """Return the bytes from `start` on, as one view per buffer."""
         views = []
         for buffer_index, buffer in enumerate(self._buffers):
             first_byte, end_byte = (
@@ -117,7 +118,7 @@
         return views
 
     def free(self) -> None:
-        """Give the buffers back."""
+        """Return the buffers to the pool."""
         check_invariant(bool(self._buffers) or not self.size, "a message is freed once")
         buffers, self._buffers = self._buffers, []
         self._pool.release(buffers)
--- a/cometseam/transport/client.py
+++ b/cometseam/transport/client.py
@@ -1,4 +1,4 @@
-"""Connections of clients, and the listener that takes them in."""
+"""Client connections, and the listener that accepts them."""
 
 import socket
 from typing import Protocol
@@ -27,35 +27,35 @@
 from cometseam.transport.clock import Clock
 from cometseam.transport.connection import Chunk, Connection
 
-# By the protocol. What is unusable is told within 3 s of connecting: what has sent nothing whole, or part of
-# a frame, has a second less. Clients end what is idle for 4 s: what stays longer is in nobody's use.
 CLIENT_FRAME_TYPES = (FrameType.PULL, FrameType.HANG_UP, FrameType.READY)
-MAX_OPEN_PULLS = 32  # pulls open on a connection
+MAX_OPEN_PULLS = 32  # per connection, by the protocol
+# The protocol wants unusable connections to be reported within 3 s of connecting: a connection that has sent
+# no complete frame, or only part of one, is closed a second earlier.
 FRAME_TIMEOUT_MS = 2000.0
+# By the protocol clients close connections that have been idle for 4 s: a longer idle one is unused.
 IDLE_TIMEOUT_MS = 4500.0
-CHECK_INTERVAL_S = 0.25  # s between two looks for what has lasted too long
-MAX_ACCEPTS_PER_TURN = 16  # connections taken in one turn of the loop
-CLOSING_DIVISOR = 16  # part of the places that those on their way out may have beside those that are served
-CLOSE_CROSSING_MS = (
-    50.0  # ms by the protocol in which what a client sends may cross the end of its connection
-)
+CHECK_INTERVAL_S = 0.25  # between two checks for overdue and stalled connections
+MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
+CLOSING_DIVISOR = 16  # with those being closed, a 16th more connections than `max_clients` are allowed
+# By the protocol, what a client sends may cross the close of its connection for this long.
+CLOSE_CROSSING_MS = 50.0
 
 
 class PullHandler(Protocol):
-    """Where pulls go."""
+    """Processes the pulls that arrive on client connections."""
 
     def is_ready(self) -> bool:
-        """Tell whether the front can serve."""
+        """Return whether the front can serve pulls."""
 
     def submit_pull(self, client: "Client", stream: int, request: PullRequest) -> bool:
-        """Take a pull in, and with it what its frame holds; False where there is no room for it now."""
+        """Accept a pull and take over its frame's buffers; return False if there is no room for it now."""
 
     def hang_up(self, client: "Client", stream: int) -> None:
-        """Nobody waits for this stream any more."""
+        """Withdraw a pull: its client no longer waits for an answer on this stream."""
 
 
 class Client:
-    """One connection of a client."""
+    """One connection to a client."""
 
     def __init__(
         self,
@@ -65,77 +65,80 @@
         pull_handler: PullHandler,
         address: str = "",
     ) -> None:
-        self.address = address_number(address)  # as a number: routes and budgets may go by it
+        self.address = address_number(address)  # as a number: routes and budgets may depend on it
         self._connection = Connection(sock, pool, clock)
         self._decoder = Decoder(pool.allocate)
         self._clock, self._pull_handler = clock, pull_handler
-        self._open_streams: set[int] = set()  # streams that are owed an answer
+        self._open_streams: set[int] = set()  # streams with an unanswered pull
         self._highest_stream = 0
-        self._partial_frame_since = 0.0  # when the frame that is half read began; 0: there is none
-        self._has_sent_frame = False  # has sent a whole frame
-        self.used_at = clock.now()  # when it last sent a whole frame or was answered
-        self._is_closing = False  # sent what can't be used: it ends when nothing is open on it any more
-        self._discarded_bytes = 0  # bytes that came after that
+        self._partial_frame_since = 0.0  # when an incomplete frame began; 0: there is none
+        self._has_sent_frame = False  # at least one complete frame
+        self.used_at = clock.now()  # when it last sent a complete frame or was answered
+        self._is_closing = False  # no more input is processed; closes when no pull is open
+        self._discarded_bytes = 0  # bytes received after that
         self._connected_at = clock.now()
-        self._close_reason = "the client"  # or why this program ended the connection
+        self._close_reason = "the client"  # or why this process closed the connection
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is owed on it or on its way out."""
+        """Return whether no pull is unanswered and no answer is still being written."""
         return not self._open_streams and not self._connection.is_write_blocked
 
     @property
     def is_closable(self) -> bool:
-        """Tell whether its end would cost nothing that has come so far, in part or whole."""
+        """Return whether closing it loses no input received so far, not even part of a frame."""
         return self.is_idle and not self._decoder.has_partial_frame and not self._connection.has_input()
 
     @property
     def is_drained(self) -> bool:
-        """Tell whether nothing has come on it that is still to be answered."""
+        """Return whether nothing that was received on it still needs an answer."""
         return self._is_closing or self.is_closable
 
     def is_evictable(self, first_pull_timeout: float) -> bool:
-        """Tell whether it may give its place: the first pull of a new one may still be on its way."""
+        """Return whether it may be closed for a new client.
+
+        A new connection is kept for `first_pull_timeout` ms, as its first pull may still be on the way.
+        """
         return self.is_closable and (
             self._has_sent_frame or self._connected_at < self._clock.now() - first_pull_timeout
         )
 
     def is_stalled(self, stall_timeout: float) -> bool:
-        """Tell whether it has left an answer half read for longer than that."""
+        """Return whether it has left an answer partly unread for longer than `stall_timeout` ms."""
         if (
             self._connection.is_write_blocked
             and self._connection.write_blocked_since < self._clock.now() - stall_timeout
         ):
-            self._connection.flush()  # this program may have stood still, and the client reads well
+            self._connection.flush()  # after a pause of this process the client may well be reading
         return (
             self._connection.is_write_blocked
             and self._connection.write_blocked_since < self._clock.now() - stall_timeout
         )
 
     def is_overdue(self) -> bool:
-        """Tell whether it has held a place for too long with nothing that is open."""
+        """Return whether it has been connected for too long without an open pull."""
         if self.is_idle and self._is_frame_overdue():
             return True
-        if self._has_sent_frame:  # a frame that begins just then is waited for: `_is_half` bounds that
+        if self._has_sent_frame:  # a frame that has just begun is awaited: `_is_frame_overdue` bounds that
             return self.is_closable and self.used_at < self._clock.now() - IDLE_TIMEOUT_MS
         is_silent = self.is_idle and not self._connection.has_input()
         return is_silent and self.used_at < self._clock.now() - FRAME_TIMEOUT_MS
 
     def _is_frame_overdue(self) -> bool:
-        """Tell whether a frame has been half read for too long, and not for want of room here."""
+        """Return whether a frame has been incomplete for too long, not counting waits for buffers here."""
         if self._connection.starved and self._partial_frame_since:
             self._partial_frame_since = self._clock.now()
-        # What lies unread may be its rest: after a stand-still of this program timers run first.
+        # Unread input may be the rest of it: timers run before sockets after a pause of the process.
         is_late = 0.0 < self._partial_frame_since < self._clock.now() - FRAME_TIMEOUT_MS
         return is_late and not self._connection.has_input()
 
     def reject_incomplete_frame(self) -> None:
-        """Take no more from a client whose frame does not end; pulls open on it are still answered."""
+        """Stop processing input of a client whose frame is overdue; its open pulls are still answered."""
         if not self.is_idle and not self._is_closing and self._is_frame_overdue():
             self.reject_input(0, "a frame that does not end")
 
     async def run(self, draining: bool) -> None:
-        """Serve it until it ends."""
+        """Serve the connection until it ends."""
         if draining:
             self.send_no_more()
         try:
@@ -147,7 +150,7 @@
                 log_event("client.ended", why=self._close_reason, pending=0)
 
     def withdraw_if_disconnected(self) -> None:
-        """Look whether the client has left, also where that is still unread; its pulls are withdrawn then."""
+        """Withdraw its pulls if the client has closed the connection, even if that is still unread."""
         if self._open_streams and self._connection.remote_has_closed():
             self._withdraw()
 
@@ -159,28 +162,28 @@
         self._open_streams.clear()
 
     def awaits(self, stream: int) -> bool:
-        """Tell whether an answer on this stream is still wanted."""
+        """Return whether the client still waits for an answer on this stream."""
         return stream in self._open_streams
 
     def send_no_more(self) -> None:
-        """Say that no new pull should come on this connection."""
+        """Ask the client to send no new pull on this connection."""
         self._connection.send([write_frame(FrameType.NO_MORE, 0)])
 
     def close(self, reason: str) -> None:
-        """End the connection at once: what is on its way out is lost."""
+        """Close the connection at once: unwritten answers are lost."""
         self._close_reason = reason
         self._connection.close()
 
     def close_gracefully(self, reason: str) -> None:
-        """End the connection, and take no more from it; what has been written reaches the client."""
+        """Close the connection and process no more input; what has been sent still reaches the client."""
         self._close_reason = reason
         self._is_closing = True
         self._connection.close_gracefully()
 
     def _feed(self, data: memoryview) -> int:
         if self._is_closing:
-            # Past the bound it is not read while it is owed something: what it floods us with waits at its
-            # side, and answers that are owed on it are not lost.
+            # Past the bound it is not read while answers are pending: a flood then stays in the client's send
+            # buffer, and the pending answers are not lost.
             if self._discarded_bytes > MAX_FRAME_LENGTH and not self.is_idle:
                 return 0
             self._discarded_bytes += len(data)
@@ -247,9 +250,9 @@
             frame.free()
 
     def reject_input(self, stream: int, reason: str) -> None:
-        """Tell what can't be used, take no more from it, and end it when nothing is open on it any more.
+        """Answer with an error, process no more input, and close the connection once no pull is open.
 
-        Guards the others against a client that floods, or sends the same again as soon as it is told.
+        This protects other clients from one that floods, or repeats its input as soon as it gets the error.
         """
         COUNTERS.add("client.bad_input")
         log_event("client.unusable", why=reason)
@@ -258,21 +261,21 @@
         self._connection.send([write_errored(stream, reason)], lambda _: self._close_if_done())
 
     def answer_served(self, stream: int, copy_holds: bool, body: Body | None) -> None:
-        """Answer a pull with its bytes; they are given back when they are written or can't be."""
+        """Answer a pull with `body`, whose buffers are freed once it is written or cannot be."""
         views = body.views() if body is not None else []
         head = write_served(stream, copy_holds, sum(len(view) for view in views))
         self._answer(stream, "served", [head, *views], body)
 
     def answer_shed(self, stream: int, come_back_in: float) -> None:
-        """Answer that trying again is harmless."""
+        """Answer that the pull was shed: a retry, after `come_back_in` ms, is harmless."""
         self._answer(stream, "shed", [write_shed(stream, come_back_in)])
 
     def answer_errored(self, stream: int, reason: str = "") -> None:
-        """Answer that a pull was not done."""
+        """Answer that the pull failed."""
         self._answer(stream, "errored", [write_errored(stream, reason)])
 
     def _answer(self, stream: int, outcome: str, chunks: list[Chunk], body: Body | None = None) -> None:
-        if stream not in self._open_streams:  # nobody waits any more, and that is still to be handled
+        if stream not in self._open_streams:  # its client has left, and the handler has yet to process that
             COUNTERS.add("answer.hung_up")
             if body is not None:
                 body.free()
@@ -290,20 +293,21 @@
 
 
 class Listener:
-    """Takes in connections of clients, no more than it may hold: past that the longest idle one ends.
+    """Accepts up to `max_clients` client connections; beyond that the longest idle one is closed.
 
-    It ends write side first and is read to a bound, so that what crosses its end destroys no answer.
+    Its write side is closed first and it is still read up to a bound, so that input which crosses the close
+    destroys no answer.
     """
 
     def __init__(
-        self, address: tuple[str, int], max_clients: int, pool: BufferPool, clock: Clock, pull_handler: PullHandler,
-        first_pull_timeout: float = 0.0,
+        self, address: tuple[str, int], max_clients: int, pool: BufferPool, clock: Clock,
+        pull_handler: PullHandler, first_pull_timeout: float = 0.0,
     ) -> None:  # fmt: skip
         self.max_clients, self._pool, self._clock, self._pull_handler = max_clients, pool, clock, pull_handler
-        self._first_pull_timeout = first_pull_timeout  # ms by which a new connection's first pull has come
-        self.clients: set[Client] = set()  # a client leaves when its connection has ended
-        # Those that were ended, and when; they are still read to a bound. They hold descriptors: with
-        # `clients` they are at most `_bound`, and the one that was ended first gives its place at once.
+        self._first_pull_timeout = first_pull_timeout  # ms, from accepting a connection
+        self.clients: set[Client] = set()  # removed when the connection is closed
+        # Connections being closed, and since when; they are still read up to a bound. They hold descriptors:
+        # with `clients` there are at most `_max_connections`; beyond that the oldest is closed at once.
         self._closing: dict[Client, float] = {}
         self._tasks: TaskGroup | None = None
         self._draining = False
@@ -314,22 +318,22 @@
         self._sock.setblocking(False)
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Accept for ever."""
+        """Accept connections until `begin_shutdown`."""
         self._tasks = tasks
         while True:
             try:
                 await anyio.wait_readable(self._sock)
             except (anyio.ClosedResourceError, ValueError, OSError):
-                return  # by `begin_shutdown`
+                return  # closed by `begin_shutdown`
             for _ in range(MAX_ACCEPTS_PER_TURN):
                 accepted = self.accept()
                 if accepted is None:
-                    await anyio.sleep(0.01)  # no place, or no descriptor: those that end make room
+                    await anyio.sleep(0.01)  # limit reached, or no descriptor: wait for connections to end
                 if not accepted:
                     break
 
     def accept(self) -> bool | None:
-        """Take one connection in; False where none waits, None where there is no place for it now."""
+        """Accept one connection; return False if none waits, None if it cannot be accepted now."""
         if self._tasks is None or self._sock.fileno() < 0:
             return False
         connection_count = len(self.clients) + len(self._closing)
@@ -339,19 +343,18 @@
         if connection_count >= self.max_clients and idle_client is None and not self._closing:
             return None
         if connection_count >= self._max_connections:
-            # The descriptor is wanted now. Past the time in which what a client sent may cross the end, a
-            # reset can destroy nothing any more.
+            # The descriptor is needed now. After CLOSE_CROSSING_MS a reset can destroy nothing any more.
             oldest_closing, closing_since = next(iter(self._closing.items()), (None, 0.0))
             if oldest_closing is None or self._clock.now() - closing_since < CLOSE_CROSSING_MS:
                 return None
             del self._closing[oldest_closing]
-            oldest_closing.close("its place is wanted")
+            oldest_closing.close("connection limit reached while it was closing")
         try:
             sock, (address, *_) = self._sock.accept()
             client = Client(sock, self._pool, self._clock, self._pull_handler, address)
         except BlockingIOError:
             return False
-        except (ConnectionAbortedError, InterruptedError):  # the next one may be waiting behind it
+        except (ConnectionAbortedError, InterruptedError):  # another may be waiting in the queue
             COUNTERS.add("client.aborted")
             return None
         except OSError as error:
@@ -361,7 +364,7 @@
         COUNTERS.add("client.accepted")
         if idle_client is not None:
             COUNTERS.add("client.gave_place")
-            self._close_client(idle_client, "gave its place")
+            self._close_client(idle_client, "idle, closed for a new client")
         self.clients.add(client)
         COUNTERS.record_max("client.connections", len(self.clients))
         self._tasks.start_soon(self._serve, client)
@@ -369,31 +372,31 @@
 
     @property
     def _max_connections(self) -> int:
-        """Tell how many connections it may hold with those on their way out."""
+        """Return how many connections it may hold, including those being closed."""
         return self.max_clients + max(self.max_clients // CLOSING_DIVISOR, 1)
 
     def _longest_idle(self) -> Client | None:
-        """Return the connection that has been idle longest, if there is one on which nothing is open."""
+        """Return the longest idle connection that may be closed for a new client, or None."""
         by_age = sorted(self.clients, key=lambda client: client.used_at)
         return next((client for client in by_age if client.is_evictable(self._first_pull_timeout)), None)
 
     def _close_client(self, client: Client, reason: str) -> None:
-        """End a connection; its descriptor is free when its client has seen that."""
+        """Close a connection gracefully; its descriptor is freed once the client has seen the close."""
         self.clients.discard(client)
         self._closing[client] = self._clock.now()
         client.close_gracefully(reason)
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no connection is left, not even one that has been ended and is still read."""
+        """Return whether no connection is left, not even one that is being closed."""
         return not self.clients and not self._closing
 
     def begin_shutdown(self) -> None:
-        """End all connections, and take no more in: the front ends. What has been written reaches clients."""
+        """Stop listening and close all connections gracefully; what has been sent still reaches clients."""
         anyio.notify_closing(self._sock)
         self._sock.close()
         for client in [*self.clients, *self._closing]:
-            client.close_gracefully("the front ends")
+            client.close_gracefully("the front shuts down")
 
     async def _serve(self, client: Client) -> None:
         try:
@@ -406,7 +409,7 @@
             self._closing.pop(client, None)
 
     async def close_overdue(self, stall_timeout: float) -> None:
-        """End what holds a place or buffers for longer than it may, for ever."""
+        """Close connections that are overdue, or stalled for `stall_timeout` ms, until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             self.close_stalled(stall_timeout)
@@ -417,15 +420,15 @@
                     self._close_client(client, "overdue")
 
     def close_stalled(self, stall_timeout: float) -> None:
-        """End the connections that have kept buffers busy for so long: others wait for these."""
+        """Close connections that have held buffers for `stall_timeout` ms: other connections need them."""
         for client in list(self.clients):
             if client.is_stalled(stall_timeout):
                 COUNTERS.add("client.stalled")
-                client.close("stalled")  # its buffers are wanted at once, and it takes nothing
+                client.close("stalled")  # at once: its buffers are needed, and its client reads nothing
                 self.clients.discard(client)
 
     def drain(self) -> None:
-        """Ask all clients to send no new pull, those to come as well."""
+        """Ask all clients, present and future, to send no new pull."""
         self._draining = True
         for client in list(self.clients):
             client.send_no_more()
--- a/cometseam/transport/clock.py
+++ b/cometseam/transport/clock.py
@@ -1,4 +1,4 @@
-"""The one clock, and what is to be done at a time of it."""
+"""The process's clock, and timers on it."""
 
 import time
 from collections.abc import Callable
@@ -10,32 +10,32 @@
 from cometseam.counters import COUNTERS
 from cometseam.events import log_event
 
-TIMER_GRANULARITY_MS = (
-    4.0  # ms within which what comes due is done in one turn of the loop; deadlines have 50
-)
+# Timers due within this run in one turn of the loop; deadlines have a tolerance of 50 ms.
+TIMER_GRANULARITY_MS = 4.0
 
 
 class Clock:
     """Milliseconds of the monotonic clock, on a scale that agreed with Unix time when the process started.
 
-    All spans are differences of `now`, so a step of the wall clock changes none. Unix time is read once; a
-    stamp of another machine is compared with `now` only in `routing.translate`, which says what is assumed.
+    All durations are differences of `now`, so a step of the wall clock changes none. Unix time is read once.
+    A timestamp of another machine is compared with `now` only in `routing.translate`, which states the
+    assumption behind that.
     """
 
     def __init__(
         self, monotonic: Callable[[], float] = time.monotonic, unix: Callable[[], float] = time.time
     ) -> None:
-        """Read both clocks, which tell seconds."""
+        """Read both clocks, which return seconds."""
         self._monotonic = monotonic
         self._start = 1000.0 * (unix() - monotonic())
 
     def now(self) -> float:
-        """Return the time in milliseconds; it never goes back."""
+        """Return the time in milliseconds; it never decreases."""
         return self._start + 1000.0 * self._monotonic()
 
 
 class Timer:
-    """Something to be done at a time; cancelled it is forgotten when its time comes."""
+    """A call due at a time. A cancelled timer stays queued until then and does nothing."""
 
     __slots__ = ("due", "run")
 
@@ -43,7 +43,7 @@
         self.due, self.run = due, run
 
     def cancel(self) -> None:
-        """See to it that nothing is done."""
+        """Make the timer do nothing."""
         self.run = _do_nothing
 
 
@@ -52,7 +52,7 @@
 
 
 class Timers:
-    """What is to be done and when. An entry leaves when its time comes: no later than the longest wait."""
+    """The queue of timers. An entry stays until it is due, so no longer than the longest wait."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -62,7 +62,7 @@
         self._wakes_at = 0.0
 
     def call_at(self, due: float, run: Callable[[], None]) -> Timer:
-        """Have something done at a time."""
+        """Call `run` at the time `due`."""
         timer = Timer(due, run)
         heappush(self._heap, (due, next(self._sequence), timer))
         if due < self._wakes_at - TIMER_GRANULARITY_MS:
@@ -70,7 +70,7 @@
         return timer
 
     async def run(self) -> None:
-        """Do what comes due, for ever."""
+        """Run timers as they come due, until cancelled."""
         while True:
             now = self._clock.now()
             while self._heap and (self._heap[0][0] <= now or self._heap[0][2].run is _do_nothing):
--- a/cometseam/transport/connection.py
+++ b/cometseam/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: reads into lent buffers, and writes messages whole and in order."""
+"""One TCP connection: reads into pooled buffers, and writes complete messages in order."""
 
 import errno
 import socket
@@ -11,39 +11,39 @@
 from cometseam.transport.clock import Clock
 
 Chunk = bytes | memoryview
-# How long after the last byte was written, and how many bytes, a connection is read whose write side has
-# ended: what comes unread to a closed socket makes the system send a reset, which can destroy answers already
-# written (RFC 9112, 9.6).
+# After its write side is shut down, a connection is still read: for LINGER_S after the last byte was written,
+# and up to LINGER_BYTES. Input that arrives at a closed socket makes the system send a reset, which can
+# destroy answers already written (RFC 9112, 9.6).
 LINGER_S = 1.0
 LINGER_BYTES = 262144  # one message of the largest size
-# Errors of a call that say nothing of the connection: the same call is made again after a while.
+# Errors of a call that do not concern the connection: the call is repeated, after MEMORY_RETRY_S where the
+# system lacked memory.
 TRANSIENT_ERRORS = frozenset({errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS})
 MEMORY_RETRY_S = 0.01
-TCP_CLOSE_WAIT = (
-    8  # TCP_INFO's first byte: the other side has ended, also where unread input comes before that
-)
+# First byte of TCP_INFO (the state) once the remote side has closed, even if input before that is unread.
+TCP_CLOSE_WAIT = 8
 
 
 class OutgoingMessage:
-    """A message on its way out."""
+    """A message that is queued or being written."""
 
     __slots__ = ("begun", "chunks", "may_begin", "on_done")
 
     def __init__(self, chunks: list[Chunk], on_done: Callable[[bool], None] | None) -> None:
         self.chunks = chunks
-        self.on_done = on_done  # told once, whether the message was written whole
+        self.on_done = on_done  # called once, with whether the message was fully written
         self.begun = False
-        self.may_begin: Callable[[], bool] | None = None  # asked before its first byte; False: it is dropped
+        self.may_begin: Callable[[], bool] | None = None  # called before the first byte; False drops it
 
     def finish(self, is_complete: bool) -> None:
-        """Tell how it went."""
+        """Report once whether the message was fully written, and release its chunks."""
         on_done, self.on_done, self.chunks = self.on_done, None, []
         if on_done is not None:
             on_done(is_complete)
 
 
 class Connection:
-    """A connected socket. `run` reads until it ends; `close` ends it from any task."""
+    """A connected socket. `run` reads until the connection ends; `close` may be called from any task."""
 
     def __init__(self, sock: socket.socket, pool: BufferPool, clock: Clock) -> None:
         sock.setblocking(False)
@@ -51,34 +51,35 @@
         self._sock, self._pool, self._clock = sock, pool, clock
         self._outgoing: deque[OutgoingMessage] = deque()
         self._write_blocked = anyio.Event()
-        self.write_blocked_since = 0.0  # when the other side last stopped taking what is written
+        self.write_blocked_since = 0.0  # when the remote side last stopped accepting bytes
         self._last_write_at = 0.0
         self.closed = False
-        self.starved = False  # its reading waits for room of this program's own
-        self._close_requested = anyio.Event()  # set when the write side is to end
+        self.starved = False  # reading waits for a buffer of this process
+        self._close_requested = anyio.Event()  # set when the write side is to be shut down
         self._is_write_shut_down = self._ends_with_remote = False
-        self._is_short_of_memory = False  # the system had no memory for a write: it is writable all the same
-        self._discarded_bytes = 0  # bytes read after that
+        # A write failed for lack of system memory: the socket may count as writable all the same.
+        self._is_short_of_memory = False
+        self._discarded_bytes = 0  # bytes read after the write side was shut down
 
     @property
     def is_closing(self) -> bool:
-        """Tell whether nothing new is written to it."""
+        """Return whether no new message is accepted."""
         return self.closed or self._close_requested.is_set()
 
     @property
     def is_write_blocked(self) -> bool:
-        """Tell whether something waits until the other side reads."""
+        """Return whether messages wait for the remote side to read."""
         return bool(self._outgoing)
 
     def has_input(self) -> bool:
-        """Tell whether something has come in that is still to be read."""
+        """Return whether there is unread input."""
         try:
             return not self.closed and bool(self._sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
     def remote_has_closed(self) -> bool:
-        """Tell whether the other side has ended or reset it, as far as that shows behind unread input."""
+        """Return whether the remote side has closed or reset it, as far as that shows behind unread input."""
         if self.closed:
             return True
         try:
@@ -88,19 +89,19 @@
             return error.errno not in TRANSIENT_ERRORS
         try:
             return self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSE_WAIT
-        except (OSError, IndexError, AttributeError):  # not told here: it shows when it is read
+        except (OSError, IndexError, AttributeError):  # no TCP_INFO here: reading will show it
             return False
 
     def send(
         self, chunks: list[Chunk], on_done: Callable[[bool], None] | None = None,
         may_begin: Callable[[], bool] | None = None,
     ) -> OutgoingMessage:  # fmt: skip
-        """Write a message, at once as far as the socket takes it.
+        """Write a message: at once as far as the socket accepts it, and the rest as it becomes writable.
 
         Args:
-            parts: its bytes.
-            done: told once, whether it was written whole.
-            begin: where it has to wait, asked just before its first byte; False drops it.
+            chunks: the bytes of the message.
+            on_done: called once, with whether the message was fully written.
+            may_begin: called just before the first byte if the message had to wait; False drops the message.
         """
         message = OutgoingMessage(chunks, on_done)
         if self.is_closing:
@@ -115,7 +116,7 @@
         return message
 
     def withdraw(self, message: OutgoingMessage) -> bool:
-        """Take back a message of which nothing was written."""
+        """Remove a queued message of which nothing has been written; return whether that was possible."""
         if message.begun or message not in self._outgoing:
             return False
         self._outgoing.remove(message)
@@ -123,7 +124,7 @@
         return True
 
     def flush(self) -> None:
-        """Write what waits, as far as the socket takes it now."""
+        """Write queued messages as far as the socket accepts them now."""
         if not self.closed:
             self._write()
 
@@ -157,9 +158,9 @@
         self._shut_down_if_written()
 
     def close_gracefully(self) -> None:
-        """End it without a loss: what waits is written, then the write side ends, then it is read to a bound.
+        """Close without losing data: write what is queued, shut down the write side, then read up to a bound.
 
-        It may be called again; `close` ends it at once.
+        It may be called repeatedly; `close` closes at once.
         """
         if not self.is_closing:
             self._close_requested.set()
@@ -176,24 +177,25 @@
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError as error:
-                if error.errno != errno.ENOTCONN:  # it was reset: reading tells so
+                if error.errno != errno.ENOTCONN:  # it was reset: reading reports that
                     self.close()
 
     async def _linger(self) -> None:
         await self._close_requested.wait()
-        while self._outgoing and not self.closed:  # bounded by whoever ends what is stalled
+        while self._outgoing and not self.closed:  # bounded: stalled connections are closed elsewhere
             await self._pool.wait()
-        # What was written longer ago has reached it.
+        # What was written longer ago than LINGER_S has arrived.
         await anyio.sleep(max(LINGER_S - (self._clock.now() - self._last_write_at) / 1000.0, 0.0))
         self.close()
 
     async def run(
         self, feed: Callable[[memoryview], int], on_remote_close: Callable[[], None] | None = None
     ) -> None:
-        """Hand all that comes in to `feed`, which tells how much it took, until the connection ends.
+        """Pass input to `feed`, which returns how many bytes it consumed, until the connection ends.
 
-        With `left` the other side's end ends it although something that it sent is still unread, and `left`
-        is told in that very turn: what else ends with the connection takes a few.
+        With `on_remote_close`, a close by the remote side ends the connection although some of its input is
+        still unread, and `on_remote_close` is called in the same turn of the loop: the rest of the shutdown
+        takes a few turns.
         """
         self._ends_with_remote = on_remote_close is not None
         try:
@@ -233,8 +235,8 @@
                     view = view[consumed:]
                     if await self._wait_for_buffer():
                         return
-                # Its end may lie behind all that has come: it is seen before what was read has its turn.
-                # Guards against pulls sent on for clients who left while the front was late to read them.
+                # The remote close may follow directly: it is detected before what was read is processed.
+                # Otherwise pulls would be forwarded for clients that left while the front was late to read.
                 skip_wait = self._ends_with_remote and not skipped_wait and size < len(buffer)
             except OSError as error:
                 if error.errno not in TRANSIENT_ERRORS:
@@ -246,9 +248,9 @@
                 self._pool.release([buffer])
 
     async def _wait_for_buffer(self) -> bool:
-        """Wait a moment for room; tell whether the other side has left meanwhile.
+        """Wait briefly for a free buffer; return whether the remote side has closed meanwhile.
 
-        Guards against pulls that are sent on for clients who have gone: nothing is read now that would tell.
+        Without this check pulls would be forwarded for clients that have gone, as no read can detect it now.
         """
         self.starved = True
         try:
@@ -272,7 +274,7 @@
                 self._write()
 
     def close(self) -> None:
-        """End the connection; what was not written whole is told so."""
+        """Close the connection at once; messages not fully written are reported as such."""
         if self.closed:
             return
         self.closed = True
--- a/cometseam/transport/peer.py
+++ b/cometseam/transport/peer.py
@@ -1,4 +1,4 @@
-"""One cache, parent or origin: an actor that sends it relays and tells how each ended."""
+"""The actor for one endpoint (cache, parent or origin): sends it relays and reports how each ended."""
 
 import errno
 import socket
@@ -26,20 +26,18 @@
 from cometseam.transport.connection import Chunk, Connection
 from cometseam.transport.resources import RESUME_SETTLE_MS, ProcessResources
 
-REMEMBERED_IDS_PER_STREAM = (
-    4  # times its streams: ids that a connection has done with and remembers, for answers that come again
-)
-# Parts of the time that a connection may take to come up: a silence after which it is asked whether it works,
-# and how long it may take to say so.
-SILENCE_FACTOR = 0.5
-REPLY_FACTOR = 0.5
-# Times the same: how long a doubted connection may send bytes of no whole answer, or the rest of an answer
-# come that nobody waits for any more (or as long again as it has taken so far, where that is longer).
+# A connection remembers this many times `max_streams` finished ids, to recognize late and repeated answers.
+REMEMBERED_IDS_PER_STREAM = 4
+# These are multiples of the connect timeout.
+SILENCE_FACTOR = 0.5  # silence with relays in flight after which a keep-alive check starts
+REPLY_FACTOR = 0.5  # time in which the reply to a keep-alive check has to come
+# The time in which a suspect connection that keeps sending must complete an answer, and in which the rest of
+# an unwanted answer must arrive (or as long again as it has taken so far, if that is longer).
 PARTIAL_ANSWER_FACTOR = 2.0
 
 
-# Errors that tell of this machine's own want (descriptors, memory, ports, routes), not of the endpoint; and
-# after how many ms a connection is tried again then.
+# Connect errors caused by this machine (descriptors, memory, ports, routes), not by the endpoint. The
+# connection is tried again after LOCAL_RETRY_MS.
 LOCAL_ERRORS = frozenset({
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN,
     errno.ENETUNREACH,
@@ -48,35 +46,35 @@
 
 
 class Channel:
-    """One connection to the peer, coming up or open."""
+    """One connection to the peer, being established or open."""
 
     def __init__(self, peer: "Peer", resources: ProcessResources) -> None:
         self._peer, self._resources = peer, resources
         self.connection: Connection | None = None
-        self.attempts: dict[str, Attempt] = {}  # by id; one leaves when it has ended
-        # By id: given up? past PAST the oldest leaves.
+        self.attempts: dict[str, Attempt] = {}  # in flight, by id
+        # Finished ids, with whether each was given up; the oldest are dropped (REMEMBERED_IDS_PER_STREAM).
         self.recent_ids: OrderedDict[str, bool] = OrderedDict()
         self.used_at = self._last_received_at = self._busy_since = 0.0
-        self._sent_count = self._stray_count = 0  # relays written, and answers to none of those that are out
-        self._silence_timer: Timer | None = None  # while relays are out
-        self._is_suspect = False  # silent: nothing new is sent until it is heard of
+        self._sent_count = self._stray_count = 0  # relays sent, and answers to none of them
+        self._silence_timer: Timer | None = None  # set while relays are in flight
+        self._is_suspect = False  # under keep-alive check: no new relay until an answer arrives
         self._suspect_since = 0.0
-        self._partial_answer_since = 0.0  # when the answer that is half read began; 0: there is none
-        self._is_answer_unwanted = False  # nobody waits for that answer: nothing new is sent behind it
-        self.closed_locally = False  # by this program, which has logged why
+        self._partial_answer_since = 0.0  # when an incomplete answer began; 0: there is none
+        self._is_answer_unwanted = False  # the incomplete answer is for a relay given up: no new relay
+        self.closed_locally = False  # by this process, which has logged why
         self._decoder = Decoder(resources.pool.allocate)
 
     def is_usable(self) -> bool:
-        """Tell whether relays may be sent over it."""
+        """Return whether relays may be sent over it."""
         usable = self.connection is not None and not self.connection.closed
         return usable and not self._is_suspect and not self._is_answer_unwanted
 
     def remote_has_closed(self) -> bool:
-        """Tell whether the other side has ended it, as far as that shows and is not read yet."""
+        """Return whether the remote side has closed it, as far as that shows behind unread input."""
         return self.connection is not None and self.connection.remote_has_closed()
 
     def load(self, request_id: str) -> tuple[bool, int] | None:
-        """Tell how busy it is; None: it can't take a relay of this id."""
+        """Return whether writing is blocked and how many relays are in flight; None: unusable for this id."""
         connection, attempt_count = self.connection, len(self.attempts)
         if connection is None or not self.is_usable() or attempt_count >= self._resources.links.max_streams:
             return None
@@ -84,7 +82,7 @@
             request_id in self.recent_ids
             and (self.recent_ids[request_id] or self._resources.connections_per_peer > 1)
         ):
-            return None  # a late answer to the earlier relay, or a second one, would be taken for this one's
+            return None  # a late or repeated answer to the earlier relay would be matched to this one
         return connection.is_write_blocked, attempt_count
 
     async def run(self) -> None:
@@ -99,7 +97,7 @@
                 return
             self._report_not_connected(error)
             return
-        except Exception as error:  # whatever it is, no connection came up
+        except Exception as error:  # whatever the error, no connection was established
             self._report_not_connected(error)
             return
         COUNTERS.add("peer.connected")
@@ -166,8 +164,8 @@
                 and answer.is_not_modified
                 and not _names_held_copy(answer, attempt.command.held_tag)
             ):
-                # A copy is called current only where a cache has named that very copy.
-                error_text = "a client's copy that was not told of"
+                # A client's copy is confirmed as current only by an answer with that copy's tag.
+                error_text = "an answer confirms a copy without the client's tag"
             elif attempt is not None:
                 del self.attempts[answer.id]
                 self._remember(answer.id, given_up=False)
@@ -179,11 +177,11 @@
             if answer.id in self.recent_ids:
                 COUNTERS.add("peer.late_answer")
             elif answer.word != HELLO_REPLY:
-                # Guards the relays beside it: what nobody asked for says nothing against the others.
+                # The connection is kept for its other relays, which a stray answer does not concern.
                 COUNTERS.add("peer.stray_answer")
                 self._stray_count += 1
                 if self._stray_count > self._sent_count + self._resources.links.max_streams:
-                    error_text = "more answers than it was asked for"
+                    error_text = "more stray answers than relays sent"
         if error_text:
             COUNTERS.add("peer.bad_input")
             log_event("peer.unusable", peer=self._peer.name, why=error_text)
@@ -197,10 +195,10 @@
             self.recent_ids.popitem(last=False)
 
     def _check_silence(self) -> None:
-        """Look whether the peer still works on what is out; it is looked at for as long as something is.
+        """Check whether the connection is silent or an answer does not end, while relays are in flight.
 
-        Guards against a connection that stays open and is of no more use: what is out on it would only time
-        out, each relay by itself. It harms where a peer stands still for so long and then goes on.
+        Without it, relays on a connection that stays open but no longer works would only time out one by one.
+        It does harm to a peer that pauses for that long and then resumes.
         """
         self._silence_timer = None
         if not self.attempts or self._is_suspect or self.connection is None or self.connection.closed:
@@ -212,21 +210,21 @@
             self._partial_answer_since
             and now - self._partial_answer_since > self._resources.links.max_deadline
         ):
-            # Guards against an answer that dribbles for ever: to the look above it is never silent.
+            # An answer that trickles in without end never counts as silence.
             COUNTERS.add("peer.never_ends")
             self.close("an answer that does not end")
-        elif due > now or self.connection.has_input():  # what is to be read is no silence
+        elif due > now or self.connection.has_input():  # unread input is no silence
             self._silence_timer = self._resources.timers.call_at(
                 max(due, now + silence_ms), self._check_silence
             )
         elif self._decoder.has_partial_answer:
             COUNTERS.add("peer.stopped_short")
-            self.close("an answer that stopped short")
+            self.close("an answer that stopped halfway")
         else:
             self._start_keep_alive_check()
 
     def send(self, attempt: Attempt) -> None:
-        """Write a relay."""
+        """Send a relay, or queue it behind unwritten ones."""
         assert self.connection is not None
         now = self.used_at = self._resources.clock.now()
         if not self.attempts:
@@ -242,7 +240,7 @@
             attempt.written_at = self._resources.clock.now() if is_complete else 0.0
 
         def may_begin() -> bool:
-            # It has waited behind others: what was learnt meanwhile counts, as at `Peer.dispatch`.
+            # It was queued behind others: the state is checked anew, as in `Peer.dispatch`.
             now = self._resources.clock.now()
             may_write = not self._resources.write_wait()
             if may_write and attempt.may_begin(now) and attempt.outgoing is not None:
@@ -264,12 +262,12 @@
 
     @staticmethod
     def _encode_head(attempt: Attempt, now: float) -> bytes:
-        """Return what comes before an attempt's body; its deadline is what is left as it is written."""
+        """Return the part of the request before its body, with the time left until the deadline at `now`."""
         size = sum(len(chunk) for chunk in attempt.body)
         return write_request(attempt.command, attempt.deadline - now, size)
 
     def withdraw(self, attempt: Attempt) -> bool:
-        """Take a relay back, if nothing of it is written."""
+        """Remove a queued relay of which nothing has been written; return whether that was possible."""
         if (
             attempt.outgoing is None
             or self.connection is None
@@ -280,7 +278,7 @@
         return True
 
     def give_up(self, attempt: Attempt) -> None:
-        """Write that a relay of which something is written is given up."""
+        """Abandon a relay whose transmission has begun, and tell the endpoint to stop working on it."""
         assert self.connection is not None
         id = attempt.command.id
         self.attempts.pop(id, None)
@@ -292,13 +290,13 @@
             self._remember(id, given_up=True)
             self.connection.send([write_stop(id)])
         if self.connection.is_write_blocked:
-            # A peer that takes no more bytes would hear of it too late; its end tells at once.
+            # The peer reads no more bytes and would get the stop too late; a close reaches it at once.
             self.close("an attempt given up behind unwritten bytes")
         elif attempt.written_at > self._last_received_at:
             self._start_keep_alive_check()
 
     def _start_keep_alive_check(self) -> None:
-        """Ask whether a silent connection works: that of a machine that has vanished stays open."""
+        """Send a hello on a silent connection: if the remote machine has vanished, it stays open."""
         if self._is_suspect or self.connection is None:
             return
         self._is_suspect, self._suspect_since = True, self._resources.clock.now()
@@ -308,9 +306,9 @@
         self._resources.timers.call_at(due, self._finish_keep_alive_check)
 
     def _finish_keep_alive_check(self) -> None:
-        """End a doubted connection that has said nothing; one that sends is looked at again, to a bound.
+        """Close a suspect connection that has stayed silent; one that sends is checked again, up to a bound.
 
-        Guards against one that is left doubted, so unusable, for ever: by an answer that does not end.
+        The bound keeps an answer that does not end from leaving the connection suspect and unusable for ever.
         """
         if self._is_suspect and self.connection is not None and not self.connection.closed:
             links, now = self._resources.links, self._resources.clock.now()
@@ -326,7 +324,7 @@
             self._check_silence()
 
     def _await_unwanted_answer(self) -> None:
-        """Wait for the rest of an answer that nobody wants any more, to a bound."""
+        """Wait for the rest of an answer to a relay given up, up to a bound."""
         self._is_answer_unwanted = True
         partial_since, now = self._partial_answer_since, self._resources.clock.now()
         wait_ms = max(PARTIAL_ANSWER_FACTOR * self._resources.links.connect_timeout, now - partial_since)
@@ -339,38 +337,36 @@
         self._resources.timers.call_at(now + wait_ms, close_if_unfinished)
 
     def close(self, why: str) -> None:
-        """End the connection, and with it all that is out on it."""
+        """Close the connection; all relays in flight on it end."""
         if self.connection is not None and not self.connection.closed:
             self.closed_locally = True
-            log_event(
-                "peer.connection_ended", peer=self._peer.name, why=why, unanswered=len(self.attempts)
-            )
+            log_event("peer.connection_ended", peer=self._peer.name, why=why, unanswered=len(self.attempts))
             self.connection.close()
 
 
 def _names_held_copy(answer: Answer, held_tag: str) -> bool:
-    """Tell whether an answer names the copy that the client holds."""
+    """Return whether an answer carries the tag of the copy that the client holds."""
     return bool(held_tag) and answer.tag == held_tag
 
 
 @dataclass(slots=True)
 class Peer:
-    """The actor: its mailbox, its connections and what is out to it."""
+    """The actor: its mailbox, its connections and the relays in flight to the endpoint."""
 
     name: str
     address: tuple[str, int]
     resources: ProcessResources
     on_attempt_ended: Callable[[AttemptEnded], None]
     mailbox: Mailbox[Attempt | GiveUp]
-    end_counts: Counter[str] = field(default_factory=Counter)  # how relays to it ended; gone with the peer
+    end_counts: Counter[str] = field(default_factory=Counter)  # relays by how they ended; lost with the peer
     _channels: list[Channel] = field(default_factory=list)
-    _waiting: list[Attempt] = field(default_factory=list)  # for a connection; each leaves by its own time-out
-    _in_flight: dict[int, Attempt] = field(default_factory=dict)  # by pull
+    _waiting: list[Attempt] = field(default_factory=list)  # for a connection, each at most until its deadline
+    _in_flight: dict[int, Attempt] = field(default_factory=dict)  # by pull number
     _is_settling: bool = False
     _tasks: TaskGroup | None = None
 
     async def run(self) -> None:
-        """Carry out what the mailbox says, until stopped."""
+        """Process messages of the mailbox until stopped."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             while True:
@@ -388,7 +384,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is out or waits."""
+        """Return whether no relay is in flight and the mailbox is empty."""
         return not self._in_flight and not len(self.mailbox)
 
     def _start_attempt(self, attempt: Attempt) -> None:
@@ -397,9 +393,7 @@
         attempt.timer = self.resources.timers.call_at(
             attempt.deadline, lambda: self._stop_attempt(attempt, EndReason.TIMED_OUT)
         )
-        if (
-            attempt.begin_by < attempt.deadline
-        ):  # it may wait behind others, on a connection that takes no bytes
+        if attempt.begin_by < attempt.deadline:  # it may be queued on a connection that accepts no bytes
             self.resources.timers.call_at(
                 attempt.begin_by, lambda: self._give_up(GiveUp(attempt, if_unsent=True))
             )
@@ -414,12 +408,11 @@
         if not (message.if_unsent and has_begun):
             self._stop_attempt(attempt, EndReason.GIVEN_UP)
         else:
-            attempt.wanted = (
-                False  # should its connection break before it is written whole, it is decided anew
-            )
+            # If its connection breaks before it is fully written, it ends as UNSENT and is not requeued.
+            attempt.wanted = False
 
     def dispatch(self) -> None:
-        """Give what waits to connections; bring another up where all that are open are at work."""
+        """Assign waiting relays to connections, and open another connection if all are busy."""
         if not self._waiting:
             return
         if wait := self.resources.write_wait():
@@ -428,7 +421,7 @@
                 now = self.resources.clock.now()
                 self.resources.timers.call_at(now + min(wait, RESUME_SETTLE_MS), self._end_settling)
             return
-        # A peer closes what is idle: what is written just then would be lost.
+        # Peers close idle connections: a relay written at that moment would be lost.
         links = self.resources.links
         now = self.resources.clock.now()
         idle_since_limit = now - (links.idle_timeout - links.connect_timeout)
@@ -437,15 +430,15 @@
                 channel.close("idle")
         waiting, self._waiting, max_channels = self._waiting, [], self.resources.connections_per_peer
         for attempt in waiting:
-            # Every relay passes here just before it is written, however long it has waited for a connection.
+            # Every relay is checked here just before it is written, however long it has waited.
             if not attempt.may_begin(now):
                 self.finish_attempt(attempt, EndReason.UNSENT)
                 continue
             best, least_load, is_connecting = self._choose_channel(attempt)
-            # Guards against a relay written whole to a connection whose end lies unread: it might have run.
+            # A relay fully written to a connection whose close is still unread would count as possibly run.
             while best is not None and not best.attempts and best.remote_has_closed():
                 COUNTERS.add("peer.had_left")
-                best.close("its end lies unread")
+                best.close("closed by the peer, not read yet")
                 best, least_load, is_connecting = self._choose_channel(attempt)
             if (
                 least_load >= (False, links.max_streams // 8)
@@ -463,7 +456,7 @@
         self.dispatch()
 
     def _choose_channel(self, attempt: Attempt) -> tuple["Channel | None", tuple[bool, int], bool]:
-        """Return the least busy connection that can take a relay, how busy, and whether one comes up."""
+        """Return the least busy usable connection, its load, and whether one is being established."""
         best: Channel | None = None
         least_load, is_connecting = (True, self.resources.links.max_streams), False
         for channel in self._channels:
@@ -481,7 +474,7 @@
         self._tasks.start_soon(channel.run)
 
     def channel_closed(self, channel: Channel, was_connected: bool, local_failure: bool = False) -> None:
-        """A connection has ended or did not come up; `local_failure`: by no fault of the endpoint."""
+        """Handle a connection that ended or failed; `local_failure`: the endpoint is not the cause."""
         self._channels.remove(channel)
         attempts, channel.attempts = list(channel.attempts.values()), {}
         for attempt in attempts:
@@ -489,19 +482,19 @@
                 self.finish_attempt(attempt, EndReason.BROKEN)
             elif attempt.requeued or not attempt.wanted:
                 self.finish_attempt(attempt, EndReason.UNSENT)
-            else:  # a connection that breaks when new or idle tells nothing of the peer: it takes another
+            else:  # a new or idle connection that breaks says nothing about the peer: use another one
                 attempt.channel, attempt.outgoing, attempt.requeued = None, None, True
                 self._waiting.append(attempt)
         if was_connected:
             self.dispatch()
-        elif local_failure:  # what waits goes on waiting, to its own end
+        elif local_failure:  # waiting relays go on waiting, until their deadlines
             self.resources.timers.call_at(self.resources.clock.now() + LOCAL_RETRY_MS, self.dispatch)
         elif not any(channel.is_usable() for channel in self._channels):
             for attempt in list(self._waiting):
                 self.finish_attempt(attempt, EndReason.UNCONNECTED)
 
     def _stop_attempt(self, attempt: Attempt, reason: EndReason) -> None:
-        """Give a relay up: that is written before its end is told, so before the pull's next is sent."""
+        """End a relay early: the stop is sent before its end is reported, so before the pull's next relay."""
         if attempt.channel is None or attempt.channel.withdraw(attempt):
             self.finish_attempt(attempt, EndReason.UNSENT)
         else:
@@ -510,7 +503,7 @@
             self.finish_attempt(attempt, reason if is_written else EndReason.UNCONNECTED)
 
     def finish_attempt(self, attempt: Attempt, reason: EndReason, answer: Answer | None = None) -> None:
-        """Tell that a relay has ended."""
+        """Report that a relay has ended; later calls for it do nothing."""
         if self._in_flight.get(attempt.pull_number) is not attempt:
             return
         del self._in_flight[attempt.pull_number]
@@ -521,8 +514,8 @@
         self.on_attempt_ended(AttemptEnded(attempt, reason, answer))
 
     def stop(self) -> None:
-        """End the actor and its connections."""
+        """Stop the actor and close its connections."""
         for channel in self._channels:
-            channel.close("the endpoint has gone")
+            channel.close("the endpoint was removed")
         if self._tasks is not None:
             self._tasks.cancel_scope.cancel()
--- a/cometseam/transport/probe.py
+++ b/cometseam/transport/probe.py
@@ -1,4 +1,4 @@
-"""Asks a cache whether it works: a connection, one question by the protocol, its answer, within a time."""
+"""Active health check of a cache: connects, sends one hello of the protocol and awaits the reply."""
 
 import anyio
 
@@ -7,10 +7,10 @@
 
 
 async def probe(address: tuple[str, int], timeout_ms: float) -> bool:
-    """Return whether the cache at `address` said within `within` ms that it works.
+    """Return whether the cache at `address` replied to a hello within `timeout_ms` ms.
 
-    A cache that takes the connection and says nothing does not work; nor does one that answers anything else
-    than that it is alive. Cancelled, the connection is closed and nothing is left.
+    A cache that accepts the connection and stays silent fails, and so does one that sends any other answer.
+    If the probe is cancelled, its connection is closed.
     """
     answers: list[Answer] = []
     decoder = Decoder(lambda size: DiscardedBody(size))
--- a/cometseam/transport/resources.py
+++ b/cometseam/transport/resources.py
@@ -1,4 +1,4 @@
-"""What all connections to endpoints share: settings, buffers, the clock, and when they may write."""
+"""State that all connections to endpoints share: settings, buffers, clock, and when they may write."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -7,61 +7,62 @@
 from cometseam.transport.buffers import BufferPool
 from cometseam.transport.clock import Clock, Timers
 
-# ms by which the loop is late where the process has stood still; ms after that in which nothing new is
-# written, as what clients and discovery sent meanwhile (withdrawals, drains) is read first; and ms in which
-# a request that is read may have come while the process stood still.
+# A loop lag above this counts as a pause of the process.
 PAUSE_THRESHOLD_MS = 50.0
+# No new relay is written for this long after a pause: what clients and discovery sent meanwhile (withdrawals,
+# drains) is read first.
 RESUME_SETTLE_MS = 8.0
+# A request that is read within this time after a pause may have arrived during it.
 RESUME_READ_MS = 30.0
-LAG_SAMPLE_INTERVAL_MS = 50.0  # ms between two measurements of the loop's lag
+LAG_SAMPLE_INTERVAL_MS = 50.0
 
 
 @dataclass(slots=True)
 class ProcessResources:
-    """What all peers share."""
+    """Resources and timing state shared by all peers. Times are in ms of `clock`, durations in ms."""
 
     links: NetworkSettings
     pool: BufferPool
     clock: Clock
     timers: Timers
-    max_connections: int  # to peers, at most
-    peer_count: int = 1  # listed
-    sampled_at: float = float("inf")  # when the loop's lag was last measured, a few times a second
-    resumed_at: float = float("-inf")  # when the process last went on after it had stood still, on `clock`
-    pause_duration: float = 0.0  # ms that it may have stood still then
-    # For how many ms requests wait at most until discovery has confirmed the list of endpoints; 0: none.
+    max_connections: int  # total of connections to peers
+    peer_count: int = 1  # endpoints in the list of discovery
+    sampled_at: float = float("inf")  # when the loop's lag was last measured; that is a few times a second
+    resumed_at: float = float("-inf")  # when the process last resumed after a pause
+    pause_duration: float = 0.0  # the longest that this pause can have lasted
+    # The longest that requests still wait for discovery to confirm the list of endpoints; 0: no wait.
     confirmation_wait: Callable[[], float] = field(default=lambda: 0.0)
-    on_resume: Callable[[float], None] = field(default=lambda lasted: None)  # told of each stand-still, in ms
+    on_resume: Callable[[float], None] = field(default=lambda pause_ms: None)  # called after each pause
 
     def record_loop_lag(self, lag: float) -> None:
-        """Take in by how many ms the loop came late to what was due."""
+        """Record by how many ms the event loop ran late."""
         now = self.clock.now()
         if lag > PAUSE_THRESHOLD_MS and now >= self.resumed_at + RESUME_READ_MS:
             self._record_pause(now, lag)
         self.sampled_at = now
 
     def write_wait(self) -> float:
-        """Return for how many ms nothing new is written at most; 0: it may be written.
+        """Return for how many ms no new relay may be written; 0: writing is allowed.
 
-        After the process has stood still what lies unread is read first, and what is known of endpoints has
-        to be confirmed.
+        After a pause of the process unread input is read first, and the state of the endpoints has to be
+        confirmed.
         """
         wait = self.unconfirmed_wait()
         return max(self.resumed_at + RESUME_SETTLE_MS - self.clock.now(), wait, 0.0)
 
     def unconfirmed_wait(self) -> float:
-        """Return for how many ms requests wait at most until what is known of endpoints is confirmed."""
+        """Return for how many ms requests still wait for the state of the endpoints to be confirmed."""
         self.detect_process_pause()
         return self.confirmation_wait()
 
     def earliest_arrival(self) -> float:
-        """Return the earliest time at which what is read now can have arrived."""
+        """Return the earliest time at which input that is read now can have arrived."""
         self.detect_process_pause()
         now = self.clock.now()
         return now - self.pause_duration if now < self.resumed_at + RESUME_READ_MS else now
 
     def detect_process_pause(self) -> None:
-        """Look for a stand-still here as well: sockets may come before the timer of the next sample."""
+        """Detect a pause before the next lag sample: the loop may serve sockets before that timer."""
         now = self.clock.now()
         if now - self.sampled_at > LAG_SAMPLE_INTERVAL_MS + PAUSE_THRESHOLD_MS:
             pause_duration, self.sampled_at = now - self.sampled_at, now
@@ -73,5 +74,5 @@
 
     @property
     def connections_per_peer(self) -> int:
-        """Tell how many connections each peer may have."""
+        """Return how many connections each peer may have."""
         return max(self.max_connections // max(self.peer_count, 1), 1)
