--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -8,11 +8,11 @@
 import pytest
 
 from tests.drive import World, order, world
-from tests.test_endings import BIG, one_peer, turns, unread
+from tests.test_endings import BIG_BYTES, accept_without_reading, one_peer, run_other_tasks
 from tests.test_leaving import stands_still
 
 pytestmark = pytest.mark.anyio
-SLACK = 150  # ms by which a deadline passed on may be past the client's own
+DEADLINE_TOLERANCE_MS = 150  # ms by which a deadline passed on may be past the client's own
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
     return "asyncio"
 
 
-async def test_the_deadline_passed_on_counts_from_before_a_stand_still_for_what_may_have_come_in_it(
+async def test_deadline_passed_on_counts_from_before_a_pause_for_requests_that_may_have_arrived_in_it(
     tmp_path: Path,
 ) -> None:
     """A client counts from when it sent its request; the front reads it 0.6 s later."""
@@ -33,35 +33,35 @@
         here.process.send_signal(signal.SIGSTOP)
         while not stands_still(here.process.pid):
             await anyio.sleep(0.001)
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         for number, caller in enumerate(callers, 1):
-            wanted = f"{number:016x}"
-            await caller.send(order(1, verb="grids", limit="3000", ram="2500", txn=wanted, item=wanted))
+            object_id = f"{number:016x}"
+            await caller.send(order(1, verb="grids", limit="3000", ram="2500", txn=object_id, item=object_id))
         await anyio.sleep(0.6)
         here.process.send_signal(signal.SIGCONT)
         cache = here.caches["cache-1"]
         first = await cache.next()
-        took = 1000.0 * (time.monotonic() - sent)
-        assert took > 600.0
+        elapsed_ms = 1000.0 * (time.monotonic() - sent_at)
+        assert elapsed_ms > 600.0
         for asked in [first, *cache.asked]:
-            assert int(asked.fields["ttl"]) <= 3000 - 600 + SLACK, asked.parts
+            assert int(asked.fields["ttl"]) <= 3000 - 600 + DEADLINE_TOLERANCE_MS, asked.parts
 
 
-async def test_an_attempt_queued_on_a_full_socket_passes_on_what_is_left_when_it_is_written() -> None:
-    go, got = anyio.Event(), bytearray()
-    async with one_peer(connections=1, connect_within=5000.0) as here:
-        await here.start(address=unread(here, go, got))
-        first = here.ask(1, body=BIG)
+async def test_attempt_queued_on_a_full_socket_passes_on_the_time_left_when_it_is_written() -> None:
+    may_read, got = anyio.Event(), bytearray()
+    async with one_peer(connections=1, connect_timeout=5000.0) as harness:
+        await harness.start(address=accept_without_reading(harness, may_read, got))
+        first = harness.start_attempt(1, body=BIG_BYTES)
         while first.outgoing is None or not first.outgoing.begun:
-            await turns()
-        second = here.ask(2, lasts=3000.0)
+            await run_other_tasks()
+        second = harness.start_attempt(2, time_limit=3000.0)
         while second.outgoing is None:
-            await turns()
+            await run_other_tasks()
         assert not second.outgoing.begun
         await anyio.sleep(0.4)
-        go.set()
-        await here.news.until(lambda: f"{2:016x}".encode() in got and b"ttl=" in got.rpartition(b"REQ")[2])
-        await here.news.until(lambda: second.written_at)
+        may_read.set()
+        await harness.news.until(lambda: f"{2:016x}".encode() in got and b"ttl=" in got.rpartition(b"REQ")[2])
+        await harness.news.until(lambda: second.written_at)
         passed_on = int(bytes(got).rpartition(b"ttl=")[2].split(b",")[0].split(b"\r")[0])
-        assert passed_on <= 2600 + SLACK
-        here.peer._stop_attempt(first, "given_up")  # type: ignore[arg-type]
+        assert passed_on <= 2600 + DEADLINE_TOLERANCE_MS
+        harness.peer._stop_attempt(first, "given_up")  # type: ignore[arg-type]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -28,15 +28,25 @@
 from tests.drive import SETTINGS, Cache, Drive, World, frame, order, resp, world
 from tests.test_actors import CONFIG, LISTING, Caller
 from tests.test_actors import order as ordered
-from tests.test_endings import BIG, Hand, Sheds, Takes, Whole, clients, one_peer, read_all, turns
+from tests.test_endings import (
+    BIG_BYTES,
+    FakeBody,
+    ManualClock,
+    RecordingPullHandler,
+    SheddingPullHandler,
+    client_listener,
+    one_peer,
+    read_to_end,
+    run_other_tasks,
+)
 from tests.test_platform import COMMAND, TWO, children, sealed, served
 
 pytestmark = pytest.mark.anyio
 TAG = "4be0c1927d55a6f3"
-COPY = f"tag={TAG},minted=1,why=cached"
+COPY_FIELDS = f"tag={TAG},minted=1,why=cached"
 CASES = 12
 # KB of a pull whose own time-out is over a second: what a test has it wait for ends sooner.
-LARGE = 300.0 * CONFIG.settings.stream_rate
+LARGE_KB = 300.0 * CONFIG.settings.stream_rate
 
 
 @pytest.fixture
@@ -57,7 +67,7 @@
     return sock
 
 
-def leave(sock: socket.socket, how: str) -> None:
+def abandon_pull(sock: socket.socket, how: str) -> None:
     if how == "withdraws":
         sock.sendall(frame(18, 1))
         return
@@ -68,7 +78,7 @@
 
 @pytest.mark.parametrize("how", ["ends", "resets", "withdraws"])
 @pytest.mark.parametrize("resting", [True, False], ids=["on a resting connection", "on a new one"])
-async def test_no_pull_is_sent_on_whose_client_left_while_the_front_stood_still(
+async def test_no_pull_is_forwarded_whose_client_left_while_the_front_was_paused(
     how: str, resting: bool, tmp_path: Path
 ) -> None:
     """Guards the 0.3 s rule: the pull and its client's leaving lie unread together, behind each other."""
@@ -77,7 +87,7 @@
         host, port = here.config["listen"].split(":")
         front = (host, int(port))
         await caller.send(order(1))  # from now on a connection to the cache is up: nothing waits for one
-        await (await cache.next()).answer("DONE", COPY, b"x")
+        await (await cache.next()).answer("DONE", COPY_FIELDS, b"x")
         assert (await caller.next()).body == b"x"
         socks = [connect(front) for _ in range(CASES * resting)]
         for sock in socks:
@@ -87,13 +97,13 @@
         while not stands_still(here.process.pid):
             await anyio.sleep(0.001)
         socks = socks or [connect(front) for _ in range(CASES)]
-        for at, sock in enumerate(socks):
-            sock.sendall(order(1, txn=f"{at + 100:016x}", item=f"{at + 100:016x}"))
-            leave(sock, how)
+        for index, sock in enumerate(socks):
+            sock.sendall(order(1, txn=f"{index + 100:016x}", item=f"{index + 100:016x}"))
+            abandon_pull(sock, how)
         here.process.send_signal(signal.SIGCONT)
         await caller.send(order(2, item="9" * 16))
         asked = await cache.next()
-        await asked.answer("DONE", COPY, b"y")
+        await asked.answer("DONE", COPY_FIELDS, b"y")
         got = await caller.next()
         assert got.body == b"y", (got, asked.parts)
         counts = await here.stop()
@@ -106,47 +116,52 @@
 
 
 @pytest.mark.parametrize("how", ["ends", "resets", "withdraws", ""], ids=lambda how: how or "waits")
-async def test_a_relay_that_waited_long_looks_whether_its_client_is_still_there(
+async def test_relay_that_waited_long_is_sent_only_if_its_client_is_still_connected(
     how: str, gates: list[anyio.Event], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection comes up in the very turn in which the client's end, or its withdrawal, lies unread."""
-    stood = (CLIENT_CHECK_AFTER_MS + 20.0) / 1000.0
-    async with one_peer(connect_within=5000.0) as here:
-        await here.start()
-        ready = socket.create_connection(here.address)
+    pause_s = (CLIENT_CHECK_AFTER_MS + 20.0) / 1000.0
+    async with one_peer(connect_timeout=5000.0) as harness:
+        await harness.start()
+        ready = socket.create_connection(harness.address)
         ready.setblocking(False)
 
-        async def late(channel: Any) -> socket.socket:
+        async def connect_late(channel: Any) -> socket.socket:
             gates.append(anyio.Event())
             await gates[-1].wait()
             return ready
 
-        monkeypatch.setattr("cometseam.transport.peer.Channel._connect", late)
-        actor = Router(Front(1, CONFIG.settings), CONFIG.names, 100, here.around)
+        monkeypatch.setattr("cometseam.transport.peer.Channel._connect", connect_late)
+        actor = Router(Front(1, CONFIG.settings), CONFIG.names, 100, harness.resources)
         actor.apply_changes(
-            [replace(LISTING, entries=tuple(replace(x, address=here.address) for x in LISTING.entries))]
+            [
+                replace(
+                    LISTING,
+                    entries=tuple(replace(entry, address=harness.address) for entry in LISTING.entries),
+                )
+            ]
         )
-        listener = Listener(("127.0.0.1", 0), 8, here.around.pool, here.around.clock, actor)
-        here.tasks.start_soon(actor.run)
-        here.tasks.start_soon(listener.run, here.tasks)
+        listener = Listener(("127.0.0.1", 0), 8, harness.resources.pool, harness.resources.clock, actor)
+        harness.tasks.start_soon(actor.run)
+        harness.tasks.start_soon(listener.run, harness.tasks)
         sock = socket.create_connection(listener._sock.getsockname())
-        sock.sendall(order(1, ram=f"{LARGE:g}", limit="6000"))
+        sock.sendall(order(1, ram=f"{LARGE_KB:g}", limit="6000"))
         while not gates:
-            await turns(1)
+            await run_other_tasks(1)
         sent = COUNTERS.counts["relay.sent"]
         if how:
-            leave(sock, how)
-        time.sleep(stood)  # the loop stands still, and the end lies unread
+            abandon_pull(sock, how)
+        time.sleep(pause_s)  # the loop stands still, and the end lies unread
         # As the program's sampling, whose timer runs before sockets are read.
-        actor.record_loop_lag(1000.0 * stood)
+        actor.record_loop_lag(1000.0 * pause_s)
         gates[0].set()
         if how:
             while actor.pending_count:
-                await turns(1)
-            assert not here.cache.asked and not listener._sock.fileno() < 0
+                await run_other_tasks(1)
+            assert not harness.cache.asked and not listener._sock.fileno() < 0
             assert COUNTERS.counts["relay.sent"] == sent  # and no other relay was tried for it
         else:
-            await (await here.cache.next()).answer("DONE", COPY, b"z")
+            await (await harness.cache.next()).answer("DONE", COPY_FIELDS, b"z")
             got = b""
             while b"z" not in got:
                 await anyio.wait_readable(sock)
@@ -154,12 +169,12 @@
             sock.close()
 
 
-async def test_no_pull_is_sent_on_whose_time_ran_out_while_the_front_stood_still(tmp_path: Path) -> None:
+async def test_no_pull_is_forwarded_whose_time_ran_out_while_the_front_was_paused(tmp_path: Path) -> None:
     """Its client counts from when it sent it. What is answered half a second past that is lost."""
     async with world(tmp_path) as here:
         caller, cache = await here.call(), here.caches["cache-1"]
         await caller.send(order(1))
-        await (await cache.next()).answer("DONE", COPY, b"x")
+        await (await cache.next()).answer("DONE", COPY_FIELDS, b"x")
         assert (await caller.next()).body == b"x"
         here.process.send_signal(signal.SIGSTOP)
         while not stands_still(here.process.pid):
@@ -174,7 +189,7 @@
 # A repeat is dropped only for so long
 
 
-def test_a_tagged_pulls_further_relay_may_not_wait_past_its_window() -> None:
+def test_further_relay_of_a_tagged_pull_may_not_wait_past_its_deduplication_window() -> None:
     tagged = replace(SETTINGS.workloads[1], dedup_scope=i.DedupScope.ALL)  # with a window of 1 s
     drive = Drive(replace(SETTINGS, workloads=(SETTINGS.workloads[0], tagged, *SETTINGS.workloads[2:])))
     drive.pull(1, workload=1)
@@ -189,166 +204,173 @@
 
 
 @pytest.mark.parametrize("late", [True, False], ids=["past its window", "within it"])
-async def test_a_tagged_relay_that_waits_for_a_connection_past_its_window_is_not_written(
+async def test_tagged_relay_waiting_for_a_connection_past_its_deduplication_window_is_not_written(
     late: bool, gates: list[anyio.Event]
 ) -> None:
     """Guards the second rule: a repeat written then is no longer known as one, and runs a second time."""
     window = 900.0
     workload = replace(CONFIG.settings.workloads[0], idempotency=i.Idempotency.TAGGED, dedup_window=window)
     settings = replace(CONFIG.settings, workloads=(workload, *CONFIG.settings.workloads[1:]))
-    async with one_peer(connect_within=5000.0) as here:
-        await here.start()
-        other = Cache("d", here.news)
+    async with one_peer(connect_timeout=5000.0) as harness:
+        await harness.start()
+        other = Cache("d", harness.news)
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        here.tasks.start_soon(listener.serve, other.serve)
+        harness.tasks.start_soon(listener.serve, other.serve)
         address = ("127.0.0.1", listener.extra(anyio.abc.SocketAttribute.local_port))
-        edge = next(line for line in LISTING.entries if line.name == "cache-1")
-        lines = (replace(edge, address=here.address), replace(edge, name="cache-2", address=address))
-        actor = Router(Front(1, settings), CONFIG.names, 100, here.around)
-        actor.apply_changes([replace(LISTING, entries=lines)])
-        here.tasks.start_soon(actor.run)
+        cache = next(entry for entry in LISTING.entries if entry.name == "cache-1")
+        entries = (replace(cache, address=harness.address), replace(cache, name="cache-2", address=address))
+        actor = Router(Front(1, settings), CONFIG.names, 100, harness.resources)
+        actor.apply_changes([replace(LISTING, entries=entries)])
+        harness.tasks.start_soon(actor.run)
         caller = Caller()
-        wanted = replace(ordered(workload=CONFIG.names.workloads[0], left=6000.0), size_kb=LARGE)
-        assert actor.submit_pull(cast(Client, caller), 1, wanted)
+        request = replace(ordered(workload=CONFIG.names.workloads[0], left=6000.0), size_kb=LARGE_KB)
+        assert actor.submit_pull(cast(Client, caller), 1, request)
         while not gates:
-            await turns(1)
-        began = here.around.clock.now()
+            await run_other_tasks(1)
+        started_at = harness.resources.clock.now()
         gates[0].set()
-        await here.news.until(lambda: here.cache.asked or other.asked)
-        first, second = (here.cache, other) if here.cache.asked else (other, here.cache)
+        await harness.news.until(lambda: harness.cache.asked or other.asked)
+        first, second = (harness.cache, other) if harness.cache.asked else (other, harness.cache)
         await (await first.next()).answer("BROKE")
         while len(gates) < 2:
-            await turns(1)
-        out = actor._open[1].in_flight  # the second relay waits for its connection
-        assert out is not None and here.around.clock.now() < began + window < out.attempt.deadline - 100.0
+            await run_other_tasks(1)
+        in_flight = actor._open[1].in_flight  # the second relay waits for its connection
+        assert (
+            in_flight is not None
+            and harness.resources.clock.now() < started_at + window < in_flight.attempt.deadline - 100.0
+        )
         if late:
             time.sleep((window + 10.0) / 1000.0)
         gates[1].set()
         if late:
             assert await caller.until(1) in (["1 shed"], ["1 errored"])
-            await turns()
+            await run_other_tasks()
             assert not second.asked
         else:
-            await (await second.next()).answer("DONE", COPY, b"x")
+            await (await second.next()).answer("DONE", COPY_FIELDS, b"x")
             assert await caller.until(1) == ["1 served"]
 
 
-async def test_a_relay_behind_one_that_the_cache_takes_no_bytes_of_is_taken_back_at_its_windows_end() -> None:
-    async with one_peer(connections=1) as here:
-        taker = socket.create_server(("127.0.0.1", 0))  # it accepts, by the system, and reads nothing
-        await here.start(address=taker.getsockname())
-        first = here.ask(1, body=BIG)
+async def test_relay_queued_behind_a_blocked_one_is_withdrawn_when_its_deduplication_window_ends() -> None:
+    async with one_peer(connections=1) as harness:
+        server = socket.create_server(("127.0.0.1", 0))  # it accepts, by the system, and reads nothing
+        await harness.start(address=server.getsockname())
+        first = harness.start_attempt(1, body=BIG_BYTES)
         while first.outgoing is None or not first.outgoing.begun:
-            await turns(1)
-        second = here.ask(2, begin_by=30.0)
-        assert await here.ended() == [EndReason.UNSENT] and here.ends[0].attempt is second
-        here.peer._stop_attempt(first, EndReason.GIVEN_UP)
-        taker.close()
+            await run_other_tasks(1)
+        second = harness.start_attempt(2, begin_within=30.0)
+        assert (
+            await harness.end_reasons() == [EndReason.UNSENT] and harness.ended_attempts[0].attempt is second
+        )
+        harness.peer._stop_attempt(first, EndReason.GIVEN_UP)
+        server.close()
 
 
 # A connection that gives its place
 
 
-async def test_a_connection_that_gives_its_place_is_not_reset_under_what_crosses_its_end() -> None:
+async def test_evicted_connection_is_not_reset_by_input_that_crosses_its_close() -> None:
     """Guards against an answer destroyed by the reset of a pull that the client sends just then."""
-    async with clients(most=1) as (listener, pulls, call, _):
-        sock = await call(buffer=4096)
+    async with client_listener(max_clients=1) as (listener, handler, connect_client, _):
+        sock = await connect_client(buffer=4096)
         sock.send(order(1))
-        await pulls.news.until(lambda: pulls.taken)
-        client, stream = pulls.taken[0]
-        body = Whole(100_000)
+        await handler.news.until(lambda: handler.accepted)
+        client, stream = handler.accepted[0]
+        body = FakeBody(100_000)
         client.answer_served(stream, False, body)
         got = b""
         while not client.is_closable:
             await anyio.wait_readable(sock)
             got += sock.recv(4096)
-        had = COUNTERS.counts["client.gave_place"]
-        other = await call()
+        count_before = COUNTERS.counts["client.gave_place"]
+        other = await connect_client()
         other.send(order(1))
-        await pulls.news.until(lambda: len(pulls.taken) == 2)  # it has a place, though none was free
-        assert COUNTERS.counts["client.gave_place"] == had + 1 and client not in listener.clients
+        await handler.news.until(lambda: len(handler.accepted) == 2)  # it has a place, though none was free
+        assert COUNTERS.counts["client.gave_place"] == count_before + 1 and client not in listener.clients
         sock.send(order(2))  # before the client sees the end
-        rest, clean = await read_all(sock)
-        assert clean and (got + rest).endswith(body.bytes) and len(pulls.taken) == 2
+        rest, clean = await read_to_end(sock)
+        assert clean and (got + rest).endswith(body.bytes) and len(handler.accepted) == 2
         for each in (sock, other):
             each.close()
 
 
-async def accepted(listener: Listener) -> bool | None:
+async def accept_waiting(listener: Listener) -> bool | None:
     """Accept the next connection; it has been made, and may still be on its way into the queue."""
-    while (taken := listener.accept()) is False:
-        await turns(1)
-    return taken
+    while (result := listener.accept()) is False:
+        await run_other_tasks(1)
+    return result
 
 
-async def test_those_on_their_way_out_are_bounded_and_none_is_reset_while_what_it_sent_may_cross() -> None:
+async def test_closing_connections_are_bounded_and_none_is_reset_while_its_input_may_cross_the_close() -> (
+    None
+):
     """A client that keeps its ended connection open holds a place no longer than its input may cross."""
 
     async with anyio.create_task_group() as tasks:
-        clock, pulls = Hand(), Takes()
-        listener = Listener(("127.0.0.1", 0), 1, BufferPool(1 << 22), clock, pulls)
+        clock, handler = ManualClock(), RecordingPullHandler()
+        listener = Listener(("127.0.0.1", 0), 1, BufferPool(1 << 22), clock, handler)
         listener._tasks = tasks
         socks = []
         for _ in range(3):
             socks.append(socket.create_connection(listener._sock.getsockname()))
             socks[-1].sendall(frame(32, 0))
-        assert await accepted(listener) and len(listener.clients) == 1
-        await turns()
-        clock.at += 1.0
-        assert await accepted(listener)  # the first gives its place, and is on its way out
-        await turns()
+        assert await accept_waiting(listener) and len(listener.clients) == 1
+        await run_other_tasks()
+        clock.now_ms += 1.0
+        assert await accept_waiting(listener)  # the first gives its place, and is on its way out
+        await run_other_tasks()
         assert len(listener.clients) == 1 and len(listener._closing) == 1
-        clock.at += 1.0
+        clock.now_ms += 1.0
         assert listener.accept() is None  # what the first sends may still cross its end
-        clock.at += CLOSE_CROSSING_MS
-        assert await accepted(listener)  # now its descriptor is wanted
+        clock.now_ms += CLOSE_CROSSING_MS
+        assert await accept_waiting(listener)  # now its descriptor is wanted
         assert len(listener.clients) + len(listener._closing) <= listener._max_connections == 2
         for sock in socks:
             sock.close()
         listener.begin_shutdown()
 
 
-async def test_what_waits_to_be_accepted_at_the_end_and_has_no_place_is_waited_for(
+async def test_drain_waits_for_connections_that_cannot_be_accepted_at_the_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a drain that takes "no place" for "nothing waits", and resets what was accepted."""
 
-    clock, pulls = Hand(), Sheds()
+    clock, handler = ManualClock(), SheddingPullHandler()
 
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
             listener = Listener(
-                ("127.0.0.1", 0), 1, BufferPool(1 << 22), clock, pulls, first_pull_timeout=900.0
+                ("127.0.0.1", 0), 1, BufferPool(1 << 22), clock, handler, first_pull_timeout=900.0
             )
             listener._tasks = tasks  # nothing accepts but the drain
             first, second = (socket.create_connection(listener._sock.getsockname()) for _ in range(2))
             second.sendall(order(1))
             second.setblocking(False)
             monkeypatch.setattr(anyio, "sleep", clock.sleep)
-            assert await accepted(listener)  # new and silent: it keeps its place for 900 ms
-            tasks.start_soon(_drain, CONFIG, clock, cast(Router, pulls), listener)
-            got, clean = await read_all(second)
-            assert clean and got[4] == 17 and got[9] == 2 and len(pulls.taken) == 1  # an answer: shed
-            assert clock.at > 1000.0 + 900.0
+            assert await accept_waiting(listener)  # new and silent: it keeps its place for 900 ms
+            tasks.start_soon(_drain, CONFIG, clock, cast(Router, handler), listener)
+            got, clean = await read_to_end(second)
+            assert clean and got[4] == 17 and got[9] == 2 and len(handler.accepted) == 1  # an answer: shed
+            assert clock.now_ms > 1000.0 + 900.0
             for sock in (first, second):
                 sock.close()
 
 
-async def test_a_resting_connection_is_not_ended_under_a_frame_that_begins_just_then() -> None:
+async def test_idle_connection_is_not_closed_while_a_frame_on_it_has_just_begun() -> None:
     """Half a pull is read, and nothing is unread, when the look comes that would end it for its long rest."""
-    async with clients() as (_, pulls, call, _):
-        sock = await call()
+    async with client_listener() as (_, handler, connect_client, _):
+        sock = await connect_client()
         sock.send(order(1))
-        await pulls.news.until(lambda: pulls.taken)
-        client, stream = pulls.taken[0]
+        await handler.news.until(lambda: handler.accepted)
+        client, stream = handler.accepted[0]
         client.answer_shed(stream, 0.0)
         sock.send(order(2)[:20])
         while not client._decoder.has_partial_frame:
-            await turns(1)
+            await run_other_tasks(1)
         client.used_at -= 60_000.0  # it has rested for longer than it may
         assert not client.is_overdue() and not client.is_evictable(0.0) and not client.is_drained
         sock.send(order(2)[20:])
-        await pulls.news.until(lambda: len(pulls.taken) == 2)
+        await handler.news.until(lambda: len(handler.accepted) == 2)
         client.answer_shed(2, 0.0)
         client.used_at -= 60_000.0
         assert client.is_overdue() and client.is_evictable(0.0) and client.is_drained
@@ -359,47 +381,47 @@
 
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
-async def test_no_relay_is_written_to_a_connection_whose_end_lies_unread(how: str) -> None:
+async def test_no_relay_is_written_to_a_connection_whose_close_is_still_unread(how: str) -> None:
     """The cache ends its idle connection in the turn in which the relay is written: it goes over another."""
-    async with one_peer() as here:
-        taker = socket.create_server(("127.0.0.1", 0))
-        taker.setblocking(False)
-        await here.start(address=taker.getsockname())
-
-        async def next_one() -> tuple[socket.socket, bytes]:
-            await anyio.wait_readable(taker)
-            sock = taker.accept()[0]
+    async with one_peer() as harness:
+        server = socket.create_server(("127.0.0.1", 0))
+        server.setblocking(False)
+        await harness.start(address=server.getsockname())
+
+        async def accept_next() -> tuple[socket.socket, bytes]:
+            await anyio.wait_readable(server)
+            sock = server.accept()[0]
             sock.setblocking(False)
             await anyio.wait_readable(sock)
             return sock, sock.recv(4096)
 
-        here.ask(1)
-        sock, got = await next_one()
+        harness.start_attempt(1)
+        sock, got = await accept_next()
         assert f"{1:016x}".encode() in got
         sock.send(resp(f"{1:016x}", "LACK", "-", b""))
-        assert await here.ended() == [EndReason.ANSWERED]
-        had = COUNTERS.counts["peer.had_left"]
-        leave(sock, how)
+        assert await harness.end_reasons() == [EndReason.ANSWERED]
+        count_before = COUNTERS.counts["peer.had_left"]
+        abandon_pull(sock, how)
         time.sleep(0.01)  # the loop stands still, and the end lies unread
-        second = here.ask(2)
-        other, got = await next_one()
+        second = harness.start_attempt(2)
+        other, got = await accept_next()
         assert f"{2:016x}".encode() in got and second.requeued is False
-        assert COUNTERS.counts["peer.had_left"] == had + 1  # the crossing took place
+        assert COUNTERS.counts["peer.had_left"] == count_before + 1  # the crossing took place
         other.send(resp(f"{2:016x}", "LACK", "-", b""))
-        assert await here.ended(2) == [EndReason.ANSWERED, EndReason.ANSWERED]
-        for each in (other, taker):
+        assert await harness.end_reasons(2) == [EndReason.ANSWERED, EndReason.ANSWERED]
+        for each in (other, server):
             each.close()
 
 
 # An operator's file that is being read when the front ends
 
 
-def jsonnet(path: Path) -> Path:
+def write_jsonnet(path: Path) -> Path:
     path.write_text(TWO)
     return path
 
 
-async def under_way_in_a_child(here: World, path: Path) -> None:
+async def start_read_in_child(here: World, path: Path) -> None:
     """Stop the child that reads the file: it reads for as long as the test wants."""
     here.process.send_signal(signal.SIGHUP)
 
@@ -411,7 +433,7 @@
     os.kill(int(found[0]), signal.SIGSTOP)
 
 
-async def under_way_on_a_thread(here: World, path: Path) -> None:
+async def start_read_on_thread(here: World, path: Path) -> None:
     """Put a FIFO in the file's place, and wait until it is opened: nobody ever writes to it."""
     path.unlink()
     os.mkfifo(path)
@@ -427,8 +449,8 @@
 @pytest.mark.parametrize(
     ("make", "name", "command", "under_way"),
     [
-        (sealed, "operator.json", COMMAND, under_way_on_a_thread),
-        (jsonnet, "operator.jsonnet", None, under_way_in_a_child),
+        (sealed, "operator.json", COMMAND, start_read_on_thread),
+        (write_jsonnet, "operator.jsonnet", None, start_read_in_child),
     ],
     ids=["sealed, on a thread", "in a child"],
 )
@@ -441,16 +463,16 @@
     async with world(tmp_path, operator=path, command=command) as here:
         await served(here, 1)
         await under_way(here, path)
-        had = children(here.process.pid)
+        children_before = children(here.process.pid)
         caller = await here.call()
         await caller.send(order(2))
         asked = await here.first()
         here.process.send_signal(signal.SIGTERM)
         await here.logged(b"drains")
-        await asked.answer("DONE", COPY, b"owed")
+        await asked.answer("DONE", COPY_FIELDS, b"owed")
         while (got := await caller.next()).type != 17:
             pass
         assert got.body == b"owed"
         counts = await here.end()
-        assert not any(Path(f"/proc/{child}").exists() for child in had)
+        assert not any(Path(f"/proc/{child}").exists() for child in children_before)
     assert "operator.taken" not in counts and "operator.refused" not in counts
--- a/tests/test_timers_first.py
+++ b/tests/test_timers_first.py
@@ -15,10 +15,10 @@
 
 from cometseam.transport.attempt import EndReason
 from tests.drive import order, resp
-from tests.test_endings import TAG, Whole, clients, one_peer, turns
+from tests.test_endings import TAG, FakeBody, client_listener, one_peer, run_other_tasks
 
 pytestmark = pytest.mark.anyio
-LONG = 60_000.0  # ms
+STALL_TIMEOUT_MS = 60_000.0  # ms
 
 
 @pytest.fixture
@@ -27,34 +27,34 @@
 
 
 @asynccontextmanager
-async def accepting() -> AsyncIterator[socket.socket]:
-    with socket.create_server(("127.0.0.1", 0)) as listening:
-        listening.setblocking(False)
-        yield listening
+async def listening_socket() -> AsyncIterator[socket.socket]:
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        server.setblocking(False)
+        yield server
 
 
-async def accepted(listening: socket.socket) -> socket.socket:
-    await anyio.wait_readable(listening)
-    sock, _ = listening.accept()
+async def accept_connection(server: socket.socket) -> socket.socket:
+    await anyio.wait_readable(server)
+    sock, _ = server.accept()
     return sock
 
 
-async def test_an_answer_that_lies_unread_when_its_attempts_time_runs_out_is_the_attempts_end() -> None:
-    async with accepting() as listening, one_peer() as here:
-        await here.start(address=listening.getsockname())
-        ask = here.ask(1, lasts=200.0)
-        with await accepted(listening) as cache:
-            while not ask.written_at:
-                await turns()
+async def test_answer_still_unread_when_its_attempt_times_out_ends_the_attempt_as_answered() -> None:
+    async with listening_socket() as server, one_peer() as harness:
+        await harness.start(address=server.getsockname())
+        attempt = harness.start_attempt(1, time_limit=200.0)
+        with await accept_connection(server) as cache:
+            while not attempt.written_at:
+                await run_other_tasks()
             cache.sendall(resp(f"{1:016x}", "DONE", f"tag={TAG},minted=1", b"in time"))
             time.sleep(0.3)
-            assert await here.ended() == [EndReason.ANSWERED]
-        answer = here.ends[0].answer
+            assert await harness.end_reasons() == [EndReason.ANSWERED]
+        answer = harness.ended_attempts[0].answer
         assert answer is not None and answer.body is not None
         answer.body.free()
 
 
-async def test_a_connection_that_came_up_in_time_is_used_though_its_timer_runs_first(
+async def test_connection_established_in_time_is_used_although_its_timer_runs_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     wait_writable, waits = anyio.wait_writable, 0
@@ -66,40 +66,40 @@
         await wait_writable(sock)
 
     monkeypatch.setattr(anyio, "wait_writable", stand_still_first)
-    async with accepting() as listening, one_peer(connect_within=100.0) as here:
-        await here.start(address=listening.getsockname())
-        ask = here.ask(1)
-        with await accepted(listening) as cache:
-            while not ask.written_at and not here.ends:
-                await turns()
-            assert waits == 1 and not here.ends and cache.recv(64)
-            here.peer._stop_attempt(ask, EndReason.GIVEN_UP)
-
-
-async def test_a_frame_whose_rest_lies_unread_does_not_end_its_connection() -> None:
-    async with clients() as (listener, pulls, call, _):
-        sock, raw = await call(), order(1)
+    async with listening_socket() as server, one_peer(connect_timeout=100.0) as harness:
+        await harness.start(address=server.getsockname())
+        attempt = harness.start_attempt(1)
+        with await accept_connection(server) as cache:
+            while not attempt.written_at and not harness.ended_attempts:
+                await run_other_tasks()
+            assert waits == 1 and not harness.ended_attempts and cache.recv(64)
+            harness.peer._stop_attempt(attempt, EndReason.GIVEN_UP)
+
+
+async def test_frame_whose_rest_is_still_unread_does_not_close_its_connection() -> None:
+    async with client_listener() as (listener, handler, connect_client, _):
+        sock, raw = await connect_client(), order(1)
         sock.send(raw[:20])
         while not listener.clients:
-            await turns()
+            await run_other_tasks()
         (client,) = listener.clients
         while not client._partial_frame_since:
-            await turns()
+            await run_other_tasks()
         sock.send(raw[20:])
         client._partial_frame_since -= 2500.0  # the front has stood still meanwhile
         assert not client.is_overdue()
         client.reject_incomplete_frame()
-        await pulls.news.until(lambda: pulls.taken)
+        await handler.news.until(lambda: handler.accepted)
         sock.close()
 
 
-async def test_a_client_that_reads_well_is_not_ended_as_stalled_after_the_front_stood_still() -> None:
-    async with clients() as (listener, pulls, call, _):
-        sock = await call(buffer=4096)
+async def test_reading_client_is_not_closed_as_stalled_after_a_pause_of_the_front() -> None:
+    async with client_listener() as (listener, handler, connect_client, _):
+        sock = await connect_client(buffer=4096)
         sock.send(order(1))
-        await pulls.news.until(lambda: pulls.taken)
-        client, stream = pulls.taken[0]
-        body = Whole(4_000_000)
+        await handler.news.until(lambda: handler.accepted)
+        client, stream = handler.accepted[0]
+        body = FakeBody(4_000_000)
         client.answer_served(stream, False, body)
         assert client._connection.is_write_blocked
         got = 0
@@ -108,26 +108,26 @@
                 got += len(sock.recv(1 << 20))
             except BlockingIOError:
                 break
-        client._connection.write_blocked_since -= LONG
-        listener.close_stalled(LONG)
+        client._connection.write_blocked_since -= STALL_TIMEOUT_MS
+        listener.close_stalled(STALL_TIMEOUT_MS)
         assert client in listener.clients
         while got < len(body.bytes):  # it comes whole
             await anyio.wait_readable(sock)
             got += len(sock.recv(1 << 20))
         while not body.freed:
-            await turns()
+            await run_other_tasks()
         sock.close()
 
 
-async def test_a_client_that_takes_nothing_is_ended_as_stalled() -> None:
-    async with clients() as (listener, pulls, call, _):
-        sock = await call(buffer=4096)
+async def test_client_that_reads_nothing_is_closed_as_stalled() -> None:
+    async with client_listener() as (listener, handler, connect_client, _):
+        sock = await connect_client(buffer=4096)
         sock.send(order(1))
-        await pulls.news.until(lambda: pulls.taken)
-        client, stream = pulls.taken[0]
-        client.answer_served(stream, False, Whole(4_000_000))
+        await handler.news.until(lambda: handler.accepted)
+        client, stream = handler.accepted[0]
+        client.answer_served(stream, False, FakeBody(4_000_000))
         assert client._connection.is_write_blocked
-        client._connection.write_blocked_since -= LONG
-        listener.close_stalled(LONG)
+        client._connection.write_blocked_since -= STALL_TIMEOUT_MS
+        listener.close_stalled(STALL_TIMEOUT_MS)
         assert client not in listener.clients
         sock.close()
