--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,8 @@
-"""What is passed on of a client's deadline, and when nothing is passed on any more."""
+"""The deadline that the front passes on with a relay.
+
+After a pause of the front, or behind a blocked socket, less time is left than when the request was read or
+queued. A deadline counted from then would let endpoints work past the client's own deadline.
+"""
 
 import signal
 import time
@@ -12,7 +16,7 @@
 from tests.test_leaving import stands_still
 
 pytestmark = pytest.mark.anyio
-DEADLINE_TOLERANCE_MS = 150  # ms by which a deadline passed on may be past the client's own
+DEADLINE_TOLERANCE_MS = 150  # by which a deadline passed on may exceed the client's own
 
 
 @pytest.fixture
@@ -23,7 +27,7 @@
 async def test_deadline_passed_on_counts_from_before_a_pause_for_requests_that_may_have_arrived_in_it(
     tmp_path: Path,
 ) -> None:
-    """A client counts from when it sent its request; the front reads it 0.6 s later."""
+    """The client's deadline counts from when it sent its request; the front reads it 0.6 s later."""
 
     def prepare(here: World) -> None:
         here.config["settings"]["grades"][0]["aim"] = 4000.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,8 @@
-"""The paths that end things, on real sockets, with each crossing forced: what is owed then is paid.
+"""Races at the end of relays, connections, drains and processes, on real sockets.
 
-Stand-ins hold a connection, a byte or an answer until the test says go (`docs/endings.md` names each row).
+Two events cross, for example a client's disconnect and the connect for its relay: the tests force each order
+by holding back a connection, a byte or an answer. They guard against pending answers that are lost or sent
+twice, and against relays that are still sent for nobody. `docs/endings.md` has a row for each race.
 """
 
 import json
@@ -36,7 +38,7 @@
 
 pytestmark = pytest.mark.anyio
 TAG = "4be0c1927d55a6f3"
-BIG_BYTES = 1 << 24  # bytes: more than two sockets hold, so that writing them stops half way
+BIG_BYTES = 1 << 24  # more than the buffers of two sockets hold, so that writing blocks halfway
 
 
 @pytest.fixture
@@ -45,7 +47,7 @@
 
 
 class PeerHarness:
-    """One peer with its real connections, a stand-in cache behind them, and a gate on each connection."""
+    """One peer with real connections to a stand-in cache; records how its attempts end."""
 
     def __init__(self, tasks: TaskGroup, connections: int, connect_timeout: float) -> None:
         links = replace(CONFIG.links, connect_timeout=connect_timeout)
@@ -102,11 +104,11 @@
             tasks.cancel_scope.cancel()
 
 
-# A client that has left
+# Clients that disconnect
 
 
 async def run_other_tasks(count: int = 20) -> None:
-    """Let every other task have its turn."""
+    """Yield to the event loop `count` times, so that every other task runs."""
     for _ in range(count):
         await anyio.lowlevel.checkpoint()
 
@@ -116,7 +118,7 @@
 async def test_a_relay_whose_client_has_left_is_never_written(
     recalls: bool, leaves: str, gates: list[anyio.Event]
 ) -> None:
-    """Guards the 0.3 s rule: 12 cases each, and not one is sent on, however late its connection comes up."""
+    """Guards the 0.3 s rule: none of 12 pulls is forwarded, however late its connection is established."""
     cases, settings = 12, replace(CONFIG.settings, can_recall=recalls)
     async with one_peer() as harness:
         await harness.start()
@@ -134,11 +136,11 @@
             actor.hang_up(cast(Client, caller), stream)
             await run_other_tasks()
         sent = COUNTERS.counts["relay.sent"] - count_before
-        assert sent == (cases if leaves == "while a connection comes up" else 0)  # the crossing took place
+        assert sent == (cases if leaves == "while a connection comes up" else 0)  # the race took place
         assert bool(gates) == bool(sent)
         for gate in gates:
             gate.set()
-        # A pull that nobody has withdrawn goes over the same connection: what was to be written is by then.
+        # A pull that is not withdrawn uses the same connection: earlier relays would be written before it.
         assert actor.submit_pull(cast(Client, caller), 99, ordered(id=99))
         await run_other_tasks()
         for gate in gates:
@@ -154,7 +156,7 @@
 async def test_partly_written_relay_is_resent_after_a_broken_connection_only_while_it_is_wanted(
     wanted: bool,
 ) -> None:
-    """Guards against a relay that goes to a cache that has begun to drain, or for a client that has left."""
+    """Guards against a relay to a cache that has begun to drain, or for a client that has left."""
     may_read, served = anyio.Event(), 0
 
     async def serve(stream: SocketStream) -> None:
@@ -174,18 +176,18 @@
         await harness.start(serve)
         attempt = harness.start_attempt(1, body=BIG_BYTES)
         await harness.news.until(lambda: served and attempt.outgoing is not None and attempt.outgoing.begun)
-        assert not attempt.written_at  # it is half written
+        assert not attempt.written_at  # it is partly written
         if not wanted:
             harness.peer.mailbox.push(GiveUp(attempt, if_unsent=True))
             await run_other_tasks()
-            assert not harness.ended_attempts  # what has begun is not taken back
+            assert not harness.ended_attempts  # a relay whose transmission has begun is not withdrawn
         may_read.set()
         assert await harness.end_reasons() == [EndReason.ANSWERED if wanted else EndReason.UNSENT]
         assert served == (2 if wanted else 1)
 
 
 def accept_without_reading(harness: PeerHarness, may_read: anyio.Event, got: bytearray) -> tuple[str, int]:
-    """Accept one connection, and read nothing of it until told to; a stream of anyio reads at once."""
+    """Accept one connection and read from it only once `may_read` is set; a stream of anyio reads at once."""
     listening = socket.create_server(("127.0.0.1", 0))
     listening.setblocking(False)
 
@@ -208,7 +210,7 @@
 
 
 async def test_relay_queued_behind_a_blocked_one_can_be_withdrawn() -> None:
-    """A socket that takes no bytes: what has not begun is not sent when it takes some again."""
+    """The socket is blocked: a relay that has not begun is not sent when the socket is writable again."""
     may_read, got = anyio.Event(), bytearray()
     async with one_peer(connections=1, connect_timeout=5000.0) as harness:
         await harness.start(address=accept_without_reading(harness, may_read, got))
@@ -219,7 +221,7 @@
         second = harness.start_attempt(2)
         while second.outgoing is None:
             await run_other_tasks()
-        assert not second.outgoing.begun and not first.written_at  # it waits behind what is stuck
+        assert not second.outgoing.begun and not first.written_at  # queued behind the blocked one
         harness.peer.mailbox.push(GiveUp(second, if_unsent=True))
         assert await harness.end_reasons() == [EndReason.UNSENT]
         may_read.set()
@@ -229,9 +231,9 @@
 
 
 async def test_attempt_queued_on_a_full_socket_is_dropped_if_its_client_has_left_by_its_turn() -> None:
-    """The socket takes bytes again before the peer has its turn, as after a stand-still of the front."""
+    """The socket is writable again before the peer's task runs, as after a pause of the front."""
     may_read, got = anyio.Event(), bytearray()
-    async with one_peer(connections=1, connect_timeout=5000.0) as harness:  # its silence ends no connection
+    async with one_peer(connections=1, connect_timeout=5000.0) as harness:  # silence closes no connection
         address = accept_without_reading(harness, may_read, got)
         await harness.start(address=address)
         first = harness.start_attempt(1, body=BIG_BYTES)
@@ -240,7 +242,7 @@
         second, third = harness.start_attempt(2), harness.start_attempt(3)
         while third.outgoing is None:
             await run_other_tasks()
-        assert second.outgoing and not second.outgoing.begun  # it waits behind what is stuck
+        assert second.outgoing and not second.outgoing.begun  # queued behind the blocked one
         second.is_client_waiting = lambda: False
         may_read.set()
         assert (
@@ -259,7 +261,7 @@
 async def test_relay_waiting_for_a_connection_ends_unsent_when_its_cache_changes(
     change: dict[str, Any], gates: list[anyio.Event]
 ) -> None:
-    """Guards against a relay to an address that is another's by now, and past a cold cache's budget."""
+    """Guards against a relay to an address now used by another, and past a cold cache's slow-start budget."""
     ends: list[i.RelayEnded] = []
 
     class RecordingFront(Front):
@@ -290,7 +292,7 @@
 
 
 async def test_endless_answer_closes_its_connection_and_fails_no_other_relay() -> None:
-    """Guards against a connection kept unusable for ever, and with it a cache that may have just one."""
+    """Guards against a connection left unusable for ever, and with it a cache limited to one connection."""
     connection_count = 0
 
     async def serve_endless_answer(stream: SocketStream) -> None:
@@ -302,7 +304,7 @@
         await stream.receive()
         try:
             await stream.send(b"*4\r\n$16\r\n%016x\r\n$4\r\nDONE\r\n$1\r\n-\r\n$200000\r\n" % 1)
-            while True:  # never silent for as long as a silent connection is given
+            while True:  # never silent long enough for a keep-alive check
                 await stream.send(b"x")
                 await anyio.sleep(0.004)
         except anyio.BrokenResourceError:
@@ -324,9 +326,9 @@
 
 
 async def test_suspect_connection_that_sends_without_end_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against `_end_doubt` with input to read: it left the connection doubted, with no timer."""
+    """Guards against a keep-alive check that, on unread input, left the connection suspect with no timer."""
     connection_count, has_input = 0, False
-    monkeypatch.setattr(Connection, "has_input", lambda connection: has_input)  # it came at that very instant
+    monkeypatch.setattr(Connection, "has_input", lambda connection: has_input)  # input arrives just then
 
     async def serve_endless_reply(stream: SocketStream) -> None:
         nonlocal connection_count, has_input
@@ -358,7 +360,7 @@
 
 
 async def test_complete_answer_during_a_keep_alive_check_keeps_the_connection() -> None:
-    """The other order of the crossing above: what is honest and slow keeps its connection."""
+    """The other order of the race above: a peer that is merely slow keeps its connection."""
     async with one_peer(connections=1, connect_timeout=60.0) as harness:
         await harness.start()
         harness.start_attempt(1)
@@ -386,7 +388,7 @@
     ids=["the client's", "another", "none"],
 )
 async def test_copy_is_confirmed_only_by_an_answer_with_its_tag(fields: str, how: EndReason) -> None:
-    """Guards against a client told that its copy is current by an answer that names another one."""
+    """Guards against confirming a client's copy as current by an answer with another copy's tag."""
     async with one_peer() as harness:
         await harness.start()
         harness.start_attempt(1, tag=TAG)
@@ -395,7 +397,7 @@
 
 
 async def test_simultaneous_answer_and_time_out_end_a_relay_once_in_both_orders() -> None:
-    """The answer lies unread when the time-out comes, and the other way round: one end, and no bytes kept."""
+    """The time-out comes before the answer is read, and after it: one end each, and no buffer is leaked."""
     async with one_peer() as harness:
         await harness.start()
         first = harness.start_attempt(1)
@@ -408,18 +410,17 @@
             other = await harness.cache.next()
         await other.answer("DONE", f"tag={TAG},minted=1", b"in time")
         await harness.news.until(lambda: len(harness.ended_attempts) == 2)
-        harness.peer._stop_attempt(second, EndReason.TIMED_OUT)  # its answer came first
+        harness.peer._stop_attempt(second, EndReason.TIMED_OUT)  # after its answer
         assert [end.reason for end in harness.ended_attempts] == [EndReason.TIMED_OUT, EndReason.ANSWERED]
         answer = harness.ended_attempts[1].answer
         assert answer is not None and answer.body is not None
         answer.body.free()
         await run_other_tasks()
-        assert (
-            harness.resources.pool.in_use <= 2 and harness.peer.is_idle
-        )  # nothing but what its readers hold
+        # Only the buffers of its readers are in use.
+        assert harness.resources.pool.in_use <= 2 and harness.peer.is_idle
 
 
-# The end of the front
+# Shutdown of the front
 
 
 async def test_shutdown_sheds_pulls_that_never_ran_and_no_relay_is_written_after_that(
@@ -436,14 +437,14 @@
         assert actor.submit_pull(cast(Client, caller), 1, ordered(id=1))
         await run_other_tasks()
         assert len(gates) == 1  # its relay waits for a connection
-        # Still in the mailbox when the end is told.
+        # Still in the mailbox when the shutdown begins.
         assert actor.submit_pull(cast(Client, caller), 2, ordered(id=2))
         actor.begin_shutdown()
-        # Shed by its client's connection.
+        # Rejected; its client's connection sheds it.
         assert not actor.submit_pull(cast(Client, caller), 3, ordered(id=3))
         assert sorted(await caller.until(2)) == ["1 shed", "2 shed"] and not actor.has_unanswered
         count_before = COUNTERS.counts["peer.connected"]
-        harness.start_attempt(7)  # another's, over a connection of its own
+        harness.start_attempt(7)  # an unrelated attempt, over a connection of its own
         await run_other_tasks()
         for gate in gates:
             gate.set()
@@ -455,7 +456,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that a test moves on."""
+    """A clock that a test advances."""
 
     now_ms = 1000.0
 
@@ -463,13 +464,13 @@
         return self.now_ms
 
     async def sleep(self, seconds: float) -> None:
-        """Stand in for `anyio.sleep`: the time passes, and every other task has its turn."""
+        """Replace `anyio.sleep`: advance the clock and run every other task."""
         self.now_ms += 1000.0 * seconds
         await run_other_tasks()
 
 
 class DrainStub:
-    """Stands in for what drains: pulls are owed until the end is told."""
+    """Stands in for the router and the listener in a drain: pulls are pending until the shutdown begins."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now, self.shutdown_at, self.ended = now, 0.0, False
@@ -494,7 +495,7 @@
 async def test_drain_gives_the_last_pull_its_full_time(
     longest: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against failing, at the longest cut-off + 350 ms, what came 600 ms after SIGTERM."""
+    """Guards against failing, at the longest deadline + 350 ms, a pull that came 600 ms after SIGTERM."""
     from cometseam.program import _drain
 
     clock = ManualClock()
@@ -506,14 +507,14 @@
     config = replace(CONFIG, links=replace(CONFIG.links, max_deadline=longest))
     drain_stub = DrainStub(clock.now)
     await _drain(config, clock, cast(Router, drain_stub), cast(Listener, drain_stub))
-    kill_at = 1000.0 + min(longest, 3000.0) + 700.0  # no sooner than that, by the protocol
+    kill_at = 1000.0 + min(longest, 3000.0) + 700.0  # the earliest SIGKILL, by the protocol
     assert kill_at - 100.0 <= drain_stub.shutdown_at <= kill_at - 50.0 and drain_stub.ended
 
 
 async def test_connections_waiting_to_be_accepted_at_shutdown_are_accepted_and_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a reset of connections that the machine has accepted and the front has not."""
+    """Guards against resetting connections that the system has accepted and the front has not."""
     from cometseam.program import _drain
 
     clock, handler = ManualClock(), SheddingPullHandler()
@@ -521,7 +522,7 @@
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
             listener = Listener(("127.0.0.1", 0), 8, BufferPool(1 << 22), clock, handler)
-            listener._tasks = tasks  # nothing accepts but the drain
+            listener._tasks = tasks  # only the drain accepts
             sock = socket.create_connection(listener._sock.getsockname())
             sock.sendall(order(1))
             sock.setblocking(False)
@@ -533,11 +534,11 @@
             sock.close()
 
 
-# The change log
+# The discovery event log
 
 
 def time_of_fourth_poll(policy: PollPolicy) -> float:
-    """Return when the fourth connection polls where three before stay silent, in ms from the first poll."""
+    """Return when the fourth connection polls if the first three stay silent, in ms from the first poll."""
     schedule, now, connections_started = PollSchedule(policy), 0.0, 0
     while connections_started < 4:
         check = schedule.check(now)
@@ -545,15 +546,15 @@
         if check.start_connection:
             connections_started += 1
             schedule.connection_started(connections_started, now)
-            schedule.poll_sent(connections_started, now)  # they come up at once
+            schedule.poll_sent(connections_started, now)  # it is established at once
         else:
             now = check.next_check_at
     return now
 
 
 async def test_changes_are_received_within_seven_seconds_although_three_polls_in_a_row_fall_silent() -> None:
-    """What replaces a silent connection is silent too, and the next; one of them dribbles for ever."""
-    # With what a front takes to connect, and is late itself.
+    """The replacements of a silent connection are silent too, and one sends an answer without end."""
+    # The 500 ms are for connecting and for delays of the front itself.
     assert time_of_fourth_poll(PollPolicy()) < 7000.0 - 500.0
     policy = PollPolicy(hold=40.0, answer_allowance=20.0, quick_allowance=20.0, connection_interval=20.0)
     news, connection_count = News(), 0
@@ -596,7 +597,7 @@
 
 
 async def test_changing_the_log_address_during_a_partly_read_answer_loses_and_repeats_nothing() -> None:
-    """SIGHUP's crossing: half an answer has come at the move, its rest comes when the other has spoken."""
+    """SIGHUP changes the address after half an answer; its rest comes after the new log's answer."""
     news, changes, requested_paths = News(), list[Any](), list[str]()
     half_sent, may_send_rest = anyio.Event(), anyio.Event()
     events = [{"seq": seq, "invalidate": {"object": f"{seq:016x}", "time": 1}} for seq in (2, 3)]
@@ -632,7 +633,7 @@
             await run_other_tasks()
             assert not changes
             log.set_address(addresses[1])
-            await news.until(lambda: len(requested_paths) == 2)  # it has what came, and asks on
+            await news.until(lambda: len(requested_paths) == 2)  # it has processed the answer and polls again
             may_send_rest.set()
             await run_other_tasks()
             assert [path.split("since=")[1].split("&")[0] for path in requested_paths] == ["1", "3"]
@@ -640,11 +641,11 @@
             tasks.cancel_scope.cancel()
 
 
-# Clients' connections
+# Client connections
 
 
 class RecordingPullHandler:
-    """Stands in for the router: it writes down what it takes, and who has left."""
+    """Stands in for the router: records accepted and withdrawn pulls."""
 
     def __init__(self) -> None:
         self.accepted: list[tuple[Client, int]] = []
@@ -665,7 +666,7 @@
 
 
 class SheddingPullHandler(RecordingPullHandler):
-    """The same at its end: it owes nothing, and takes nothing in."""
+    """The same during shutdown: it has no pending pulls and accepts none."""
 
     has_unanswered = False
 
@@ -674,7 +675,7 @@
         return False  # its connection sheds it
 
     def begin_shutdown(self) -> None:
-        """What is owed would be answered."""
+        """Do nothing: no pull is pending."""
 
 
 @asynccontextmanager
@@ -705,7 +706,7 @@
 
 
 async def read_to_end(sock: socket.socket) -> tuple[bytes, bool]:
-    """Read until the end; also tell whether that was a clean one, and no reset."""
+    """Read until the connection ends; also return whether it was closed cleanly, not reset."""
     got = b""
     while True:
         await anyio.wait_readable(sock)
@@ -719,7 +720,7 @@
 
 
 class FakeBody:
-    """An answer's body."""
+    """The body of an answer; counts how often it is freed."""
 
     def __init__(self, size: int) -> None:
         self.bytes, self.freed = bytes(size), 0
@@ -732,7 +733,7 @@
 
 
 async def test_pending_answers_to_a_flooding_client_are_fully_written_before_it_is_closed() -> None:
-    """Guards against answers dropped past the flood bound, or destroyed by the reset of unread input."""
+    """Guards against answers dropped past the flood bound, or destroyed by the reset for unread input."""
     async with client_listener() as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -755,7 +756,7 @@
             sending.start_soon(send)
             await handler.news.until(lambda: handler.accepted and sent > 300_000)
             (client, stream) = handler.accepted[0]
-            await handler.news.until(lambda: client._discarded_bytes > 262144)  # the bound is past
+            await handler.news.until(lambda: client._discarded_bytes > 262144)  # the bound is exceeded
             await run_other_tasks()
             assert client in listener.clients and client.awaits(stream) and not handler.withdrawn
             body = FakeBody(240_000)
@@ -781,21 +782,21 @@
             await run_other_tasks()
         late = await connect_client()
         for _ in range(3):
-            assert listener.accept() is None  # there is no place: it waits
+            assert listener.accept() is None  # the limit is reached: it waits
         fresh.send(order(5))
         await handler.news.until(lambda: len(handler.accepted) == 3)
         client, stream = handler.accepted[-1]
-        client.answer_shed(stream, 0.0)  # it has spoken and is idle: now it gives its place
+        client.answer_shed(stream, 0.0)  # it has sent a pull and is idle: now it may be evicted
         late.send(order(9))
         await handler.news.until(lambda: len(handler.accepted) == 4)
         got, clean = await read_to_end(fresh)
-        assert got and clean  # the answer written before has come whole
+        assert got and clean  # the earlier answer arrived completely
         for sock in (*busy, fresh, late):
             sock.close()
 
 
 async def test_input_between_the_idle_check_and_the_close_causes_no_reset() -> None:
-    """The client's next pull crosses the end of its idle connection: its last answer still comes whole."""
+    """The client's next pull crosses the close of its idle connection: its last answer arrives completely."""
     async with client_listener() as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
         sock.send(order(1))
@@ -808,14 +809,14 @@
             await anyio.wait_readable(sock)
             got += sock.recv(4096)
         listener._close_client(client, "overdue")
-        sock.send(order(2))  # after the look, before the client sees the end
+        sock.send(order(2))  # after the check, before the client sees the close
         rest, clean = await read_to_end(sock)
         assert clean and (got + rest).endswith(body.bytes) and len(handler.accepted) == 1
         sock.close()
 
 
 async def test_incomplete_frame_costs_no_pending_answer_on_its_connection() -> None:
-    """Guards against ending a connection for a half-read frame while pulls on it are open."""
+    """Guards against closing a connection for an incomplete frame while pulls on it are open."""
     async with client_listener() as (_, handler, connect_client, _):
         sock = await connect_client()
         sock.send(order(1) + order(2)[:20])
@@ -823,7 +824,7 @@
         client, stream = handler.accepted[0]
         while not client._partial_frame_since:
             await run_other_tasks()
-        client._partial_frame_since -= 2500.0  # as long ago as is too long
+        client._partial_frame_since -= 2500.0  # longer ago than allowed
         client.reject_incomplete_frame()
         assert not client.is_overdue() and client.awaits(stream)
         client.answer_shed(stream, 0.0)
@@ -833,7 +834,7 @@
 
 
 async def test_client_disconnect_is_detected_while_no_buffer_is_free() -> None:
-    """Guards against pulls sent on for a client that has gone, behind input that waits for a buffer."""
+    """Guards against pulls forwarded for a client that has gone, while its input waits for a buffer."""
     async with client_listener(memory=16 * BUFFER_SIZE_BYTES) as (_, handler, connect_client, pool):
         sock = await connect_client()
         sock.send(order(1))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,8 @@
-"""What has waited too long when its turn comes, and places given up: the crossing forced each time.
+"""Pulls and relays that are obsolete when they are processed, and connections closed for others.
 
-The front stands still (SIGSTOP, or a turn of the loop that lasts) while two things happen, so that both lie
-unread when it goes on; `docs/endings.md` names each row.
+The front is paused (SIGSTOP, or a blocked event loop) while two events happen, for example a pull arrives and
+its client disconnects, so that both are unread when it resumes. The tests guard against relays for clients
+that have gone and against answers lost to a reset. `docs/endings.md` has a row for each race.
 """
 
 import os
@@ -45,7 +46,7 @@
 TAG = "4be0c1927d55a6f3"
 COPY_FIELDS = f"tag={TAG},minted=1,why=cached"
 CASES = 12
-# KB of a pull whose own time-out is over a second: what a test has it wait for ends sooner.
+# Size in KB of a pull whose own time-out is over a second, longer than the waits of these tests.
 LARGE_KB = 300.0 * CONFIG.settings.stream_rate
 
 
@@ -54,7 +55,7 @@
     return "asyncio"
 
 
-# A client that left while the front stood still
+# Clients that leave while the front is paused
 
 
 def stands_still(pid: int) -> bool:
@@ -63,7 +64,7 @@
 
 def connect(address: tuple[str, int]) -> socket.socket:
     sock = socket.create_connection(address)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # or what it sends last is held back
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # else its last bytes are delayed
     return sock
 
 
@@ -81,18 +82,18 @@
 async def test_no_pull_is_forwarded_whose_client_left_while_the_front_was_paused(
     how: str, resting: bool, tmp_path: Path
 ) -> None:
-    """Guards the 0.3 s rule: the pull and its client's leaving lie unread together, behind each other."""
+    """Guards the 0.3 s rule: a pull and its client's disconnect are unread together, in that order."""
     async with world(tmp_path) as here:
         caller, cache = await here.call(), here.caches["cache-1"]
         host, port = here.config["listen"].split(":")
         front = (host, int(port))
-        await caller.send(order(1))  # from now on a connection to the cache is up: nothing waits for one
+        await caller.send(order(1))  # from now on a connection to the cache exists: no relay waits for one
         await (await cache.next()).answer("DONE", COPY_FIELDS, b"x")
         assert (await caller.next()).body == b"x"
         socks = [connect(front) for _ in range(CASES * resting)]
         for sock in socks:
             sock.sendall(frame(32, 0) if resting else b"")
-            assert sock.recv(64)  # it is taken in and answered
+            assert sock.recv(64)  # it is accepted and answered
         here.process.send_signal(signal.SIGSTOP)
         while not stands_still(here.process.pid):
             await anyio.sleep(0.001)
@@ -110,16 +111,16 @@
         for sock in socks:
             sock.close()
     assert [asked.parts[1] for asked in cache.asked] == [f"{1:016x}", f"{2:016x}"]
-    if how != "resets":  # then the system may forget what was sent before
+    if how != "resets":  # after a reset the system may drop what was sent before
         withdrawn = counts.get("pull.withdrawn", 0) + counts.get("pull.hung_up", 0)
-        assert withdrawn == CASES  # the crossing took place each time
+        assert withdrawn == CASES  # the race took place each time
 
 
 @pytest.mark.parametrize("how", ["ends", "resets", "withdraws", ""], ids=lambda how: how or "waits")
 async def test_relay_that_waited_long_is_sent_only_if_its_client_is_still_connected(
     how: str, gates: list[anyio.Event], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection comes up in the very turn in which the client's end, or its withdrawal, lies unread."""
+    """The connection is established in the turn in which the client's close or withdrawal is unread."""
     pause_s = (CLIENT_CHECK_AFTER_MS + 20.0) / 1000.0
     async with one_peer(connect_timeout=5000.0) as harness:
         await harness.start()
@@ -151,15 +152,15 @@
         sent = COUNTERS.counts["relay.sent"]
         if how:
             abandon_pull(sock, how)
-        time.sleep(pause_s)  # the loop stands still, and the end lies unread
-        # As the program's sampling, whose timer runs before sockets are read.
+        time.sleep(pause_s)  # the loop is blocked, and the close is unread
+        # As the program's lag sampling does, whose timer runs before sockets are read.
         actor.record_loop_lag(1000.0 * pause_s)
         gates[0].set()
         if how:
             while actor.pending_count:
                 await run_other_tasks(1)
             assert not harness.cache.asked and not listener._sock.fileno() < 0
-            assert COUNTERS.counts["relay.sent"] == sent  # and no other relay was tried for it
+            assert COUNTERS.counts["relay.sent"] == sent  # and no other relay was sent for it
         else:
             await (await harness.cache.next()).answer("DONE", COPY_FIELDS, b"z")
             got = b""
@@ -170,7 +171,7 @@
 
 
 async def test_no_pull_is_forwarded_whose_time_ran_out_while_the_front_was_paused(tmp_path: Path) -> None:
-    """Its client counts from when it sent it. What is answered half a second past that is lost."""
+    """The client's deadline counts from when it sent the pull; an answer half a second past that is lost."""
     async with world(tmp_path) as here:
         caller, cache = await here.call(), here.caches["cache-1"]
         await caller.send(order(1))
@@ -180,25 +181,25 @@
         while not stands_still(here.process.pid):
             await anyio.sleep(0.001)
         await caller.send(order(2, limit="300"))
-        await anyio.sleep(0.4)  # the time that runs out is the event
+        await anyio.sleep(0.4)  # the deadline passes meanwhile
         here.process.send_signal(signal.SIGCONT)
-        assert (await caller.next()).code == 2  # at once, and that trying again is harmless
+        assert (await caller.next()).code == 2  # shed at once: a retry is harmless
         assert len(cache.asked) == 1
 
 
-# A repeat is dropped only for so long
+# The deduplication window
 
 
 def test_further_relay_of_a_tagged_pull_may_not_wait_past_its_deduplication_window() -> None:
-    tagged = replace(SETTINGS.workloads[1], dedup_scope=i.DedupScope.ALL)  # with a window of 1 s
+    tagged = replace(SETTINGS.workloads[1], dedup_scope=i.DedupScope.ALL)  # its window is 1 s
     drive = Drive(replace(SETTINGS, workloads=(SETTINGS.workloads[0], tagged, *SETTINGS.workloads[2:])))
     drive.pull(1, workload=1)
-    assert drive.last[1].write_within == 0.0  # it has run nowhere
+    assert drive.last[1].write_within == 0.0  # no endpoint has run it
     first = drive.last[1].cache
     drive.end(1, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
     assert drive.last[1].cache != first or drive.relays[1] == 1
     assert drive.last[1].write_within == 700.0
-    drive.pull(2, workload=0)  # repeatable: any time
+    drive.pull(2, workload=0)  # idempotent: at any time
     drive.end(2, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
     assert drive.relays[2] == 1 and drive.last[2].write_within == 0.0
 
@@ -207,7 +208,7 @@
 async def test_tagged_relay_waiting_for_a_connection_past_its_deduplication_window_is_not_written(
     late: bool, gates: list[anyio.Event]
 ) -> None:
-    """Guards the second rule: a repeat written then is no longer known as one, and runs a second time."""
+    """Guards the second rule: a repeat written after the window is not recognized and runs a second time."""
     window = 900.0
     workload = replace(CONFIG.settings.workloads[0], idempotency=i.Idempotency.TAGGED, dedup_window=window)
     settings = replace(CONFIG.settings, workloads=(workload, *CONFIG.settings.workloads[1:]))
@@ -253,7 +254,7 @@
 
 async def test_relay_queued_behind_a_blocked_one_is_withdrawn_when_its_deduplication_window_ends() -> None:
     async with one_peer(connections=1) as harness:
-        server = socket.create_server(("127.0.0.1", 0))  # it accepts, by the system, and reads nothing
+        server = socket.create_server(("127.0.0.1", 0))  # the system accepts; nothing is read
         await harness.start(address=server.getsockname())
         first = harness.start_attempt(1, body=BIG_BYTES)
         while first.outgoing is None or not first.outgoing.begun:
@@ -266,11 +267,11 @@
         server.close()
 
 
-# A connection that gives its place
+# Connections closed for new clients
 
 
 async def test_evicted_connection_is_not_reset_by_input_that_crosses_its_close() -> None:
-    """Guards against an answer destroyed by the reset of a pull that the client sends just then."""
+    """Guards against an answer destroyed by a reset, caused by a pull that the client sends just then."""
     async with client_listener(max_clients=1) as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
         sock.send(order(1))
@@ -285,9 +286,9 @@
         count_before = COUNTERS.counts["client.gave_place"]
         other = await connect_client()
         other.send(order(1))
-        await handler.news.until(lambda: len(handler.accepted) == 2)  # it has a place, though none was free
+        await handler.news.until(lambda: len(handler.accepted) == 2)  # though the limit was reached
         assert COUNTERS.counts["client.gave_place"] == count_before + 1 and client not in listener.clients
-        sock.send(order(2))  # before the client sees the end
+        sock.send(order(2))  # before the client sees the close
         rest, clean = await read_to_end(sock)
         assert clean and (got + rest).endswith(body.bytes) and len(handler.accepted) == 2
         for each in (sock, other):
@@ -295,7 +296,7 @@
 
 
 async def accept_waiting(listener: Listener) -> bool | None:
-    """Accept the next connection; it has been made, and may still be on its way into the queue."""
+    """Accept the next connection, which is established but may not be in the accept queue yet."""
     while (result := listener.accept()) is False:
         await run_other_tasks(1)
     return result
@@ -304,7 +305,7 @@
 async def test_closing_connections_are_bounded_and_none_is_reset_while_its_input_may_cross_the_close() -> (
     None
 ):
-    """A client that keeps its ended connection open holds a place no longer than its input may cross."""
+    """A client that keeps its closed connection open holds a descriptor only while its input may cross."""
 
     async with anyio.create_task_group() as tasks:
         clock, handler = ManualClock(), RecordingPullHandler()
@@ -317,13 +318,13 @@
         assert await accept_waiting(listener) and len(listener.clients) == 1
         await run_other_tasks()
         clock.now_ms += 1.0
-        assert await accept_waiting(listener)  # the first gives its place, and is on its way out
+        assert await accept_waiting(listener)  # the first is evicted and is being closed
         await run_other_tasks()
         assert len(listener.clients) == 1 and len(listener._closing) == 1
         clock.now_ms += 1.0
-        assert listener.accept() is None  # what the first sends may still cross its end
+        assert listener.accept() is None  # input of the first may still cross its close
         clock.now_ms += CLOSE_CROSSING_MS
-        assert await accept_waiting(listener)  # now its descriptor is wanted
+        assert await accept_waiting(listener)  # now its descriptor is reclaimed
         assert len(listener.clients) + len(listener._closing) <= listener._max_connections == 2
         for sock in socks:
             sock.close()
@@ -333,7 +334,7 @@
 async def test_drain_waits_for_connections_that_cannot_be_accepted_at_the_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a drain that takes "no place" for "nothing waits", and resets what was accepted."""
+    """Guards against a drain that takes "limit reached" for "none waits", and resets waiting connections."""
 
     clock, handler = ManualClock(), SheddingPullHandler()
 
@@ -342,12 +343,12 @@
             listener = Listener(
                 ("127.0.0.1", 0), 1, BufferPool(1 << 22), clock, handler, first_pull_timeout=900.0
             )
-            listener._tasks = tasks  # nothing accepts but the drain
+            listener._tasks = tasks  # only the drain accepts
             first, second = (socket.create_connection(listener._sock.getsockname()) for _ in range(2))
             second.sendall(order(1))
             second.setblocking(False)
             monkeypatch.setattr(anyio, "sleep", clock.sleep)
-            assert await accept_waiting(listener)  # new and silent: it keeps its place for 900 ms
+            assert await accept_waiting(listener)  # new and silent: it is kept for 900 ms
             tasks.start_soon(_drain, CONFIG, clock, cast(Router, handler), listener)
             got, clean = await read_to_end(second)
             assert clean and got[4] == 17 and got[9] == 2 and len(handler.accepted) == 1  # an answer: shed
@@ -357,7 +358,7 @@
 
 
 async def test_idle_connection_is_not_closed_while_a_frame_on_it_has_just_begun() -> None:
-    """Half a pull is read, and nothing is unread, when the look comes that would end it for its long rest."""
+    """Part of a pull is read, and nothing is unread, at the check that would close the idle connection."""
     async with client_listener() as (_, handler, connect_client, _):
         sock = await connect_client()
         sock.send(order(1))
@@ -367,7 +368,7 @@
         sock.send(order(2)[:20])
         while not client._decoder.has_partial_frame:
             await run_other_tasks(1)
-        client.used_at -= 60_000.0  # it has rested for longer than it may
+        client.used_at -= 60_000.0  # idle for longer than allowed
         assert not client.is_overdue() and not client.is_evictable(0.0) and not client.is_drained
         sock.send(order(2)[20:])
         await handler.news.until(lambda: len(handler.accepted) == 2)
@@ -377,12 +378,12 @@
         sock.close()
 
 
-# A connection to a cache whose end lies unread
+# Connections to caches whose close is unread
 
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
 async def test_no_relay_is_written_to_a_connection_whose_close_is_still_unread(how: str) -> None:
-    """The cache ends its idle connection in the turn in which the relay is written: it goes over another."""
+    """The cache closes its idle connection in the turn in which the relay is written: another one is used."""
     async with one_peer() as harness:
         server = socket.create_server(("127.0.0.1", 0))
         server.setblocking(False)
@@ -402,18 +403,18 @@
         assert await harness.end_reasons() == [EndReason.ANSWERED]
         count_before = COUNTERS.counts["peer.had_left"]
         abandon_pull(sock, how)
-        time.sleep(0.01)  # the loop stands still, and the end lies unread
+        time.sleep(0.01)  # the loop is blocked, and the close is unread
         second = harness.start_attempt(2)
         other, got = await accept_next()
         assert f"{2:016x}".encode() in got and second.requeued is False
-        assert COUNTERS.counts["peer.had_left"] == count_before + 1  # the crossing took place
+        assert COUNTERS.counts["peer.had_left"] == count_before + 1  # the race took place
         other.send(resp(f"{2:016x}", "LACK", "-", b""))
         assert await harness.end_reasons(2) == [EndReason.ANSWERED, EndReason.ANSWERED]
         for each in (other, server):
             each.close()
 
 
-# An operator's file that is being read when the front ends
+# Shutdown while an operator's file is being read
 
 
 def write_jsonnet(path: Path) -> Path:
@@ -422,10 +423,10 @@
 
 
 async def start_read_in_child(here: World, path: Path) -> None:
-    """Stop the child that reads the file: it reads for as long as the test wants."""
+    """Start a reload and stop the child that reads the file, so that the reading does not end."""
     here.process.send_signal(signal.SIGHUP)
 
-    def runs(child: str) -> bool:  # before that its parent waits for it
+    def runs(child: str) -> bool:  # before its exec the parent waits for it
         return "cometseam.operator" in Path(f"/proc/{child}/cmdline").read_text()
 
     while not (found := children(here.process.pid)) or not runs(found[0]):
@@ -434,13 +435,13 @@
 
 
 async def start_read_on_thread(here: World, path: Path) -> None:
-    """Put a FIFO in the file's place, and wait until it is opened: nobody ever writes to it."""
+    """Replace the file by a FIFO without a writer, start a reload, and wait until the FIFO is opened."""
     path.unlink()
     os.mkfifo(path)
     here.process.send_signal(signal.SIGHUP)
     while True:
         try:
-            os.open(path, os.O_WRONLY | os.O_NONBLOCK)  # kept open: the reading goes on
+            os.open(path, os.O_WRONLY | os.O_NONBLOCK)  # kept open, so that the reading goes on
             return
         except OSError:
             await anyio.sleep(0.001)
@@ -458,7 +459,7 @@
     make: Callable[[Path], Path], name: str, command: list[str] | None,
     under_way: Callable[[World, Path], Awaitable[None]], tmp_path: Path,
 ) -> None:  # fmt: skip
-    """The front answers what it owes, and its end waits for no file."""
+    """The front answers its pending pulls, and its shutdown does not wait for the file."""
     path = make(tmp_path / name)
     async with world(tmp_path, operator=path, command=command) as here:
         await served(here, 1)
--- a/tests/test_timers_first.py
+++ b/tests/test_timers_first.py
@@ -1,7 +1,7 @@
-"""A process that stands still finds its timers due before it reads its sockets; what came in time counts.
+"""After a pause of the process, timers run before sockets are read: input that came in time must still count.
 
-Each test puts the event into the socket, lets the time run out without a turn of the loop, and goes on: the
-cause of test_late_drain again, at attempts and connections (kept before as well) and at clients.
+Each test puts the input into the socket, lets the time run out while the event loop is blocked, and resumes.
+It is the fault of test_late_drain, here for attempts and connections (which never had it) and for clients.
 """
 
 import socket
@@ -18,12 +18,12 @@
 from tests.test_endings import TAG, FakeBody, client_listener, one_peer, run_other_tasks
 
 pytestmark = pytest.mark.anyio
-STALL_TIMEOUT_MS = 60_000.0  # ms
+STALL_TIMEOUT_MS = 60_000.0
 
 
 @pytest.fixture
 def anyio_backend() -> tuple[str, dict[str, Any]]:
-    return "asyncio", {"use_uvloop": True}  # as the program runs: timers come before sockets
+    return "asyncio", {"use_uvloop": True}  # as in the program: timers run before sockets
 
 
 @asynccontextmanager
@@ -62,7 +62,7 @@
     async def stand_still_first(sock: Any) -> None:
         nonlocal waits
         waits += 1
-        time.sleep(0.2)  # the handshake has begun: the system ends it meanwhile
+        time.sleep(0.2)  # the handshake has begun, and the system completes it meanwhile
         await wait_writable(sock)
 
     monkeypatch.setattr(anyio, "wait_writable", stand_still_first)
@@ -86,7 +86,7 @@
         while not client._partial_frame_since:
             await run_other_tasks()
         sock.send(raw[20:])
-        client._partial_frame_since -= 2500.0  # the front has stood still meanwhile
+        client._partial_frame_since -= 2500.0  # as after a pause of the front
         assert not client.is_overdue()
         client.reject_incomplete_frame()
         await handler.news.until(lambda: handler.accepted)
@@ -103,7 +103,7 @@
         client.answer_served(stream, False, body)
         assert client._connection.is_write_blocked
         got = 0
-        while True:  # what the system holds; the front has no turn
+        while True:  # drain the system's buffers while the front does not run
             try:
                 got += len(sock.recv(1 << 20))
             except BlockingIOError:
@@ -111,7 +111,7 @@
         client._connection.write_blocked_since -= STALL_TIMEOUT_MS
         listener.close_stalled(STALL_TIMEOUT_MS)
         assert client in listener.clients
-        while got < len(body.bytes):  # it comes whole
+        while got < len(body.bytes):  # the answer arrives completely
             await anyio.wait_readable(sock)
             got += len(sock.recv(1 << 20))
         while not body.freed:
