--- a/cometseam/transport/peer.py
+++ b/cometseam/transport/peer.py
@@ -244,9 +244,8 @@
             now = self._resources.clock.now()
             may_write = not self._resources.write_wait()
             if may_write and attempt.may_begin(now) and attempt.outgoing is not None:
-                attempt.outgoing.chunks[0] = self._encode_head(
-                    attempt, now
-                )  # less time is left than when it was queued
+                # Less time is left than when it was queued.
+                attempt.outgoing.chunks[0] = self._encode_head(attempt, now)
                 return True
             self.attempts.pop(attempt.command.id, None)
             self._peer.finish_attempt(attempt, EndReason.UNSENT)
