--- a/cometseam/config.py
+++ b/cometseam/config.py
@@ -22,9 +22,9 @@
 OPERATOR_VARIABLE = "COMETSEAM_OPERATOR"
 LOG_FORMATS = {"text": "text", "json": "json"}
 LOG_LEVELS = {level: level for level in ("DEBUG", "INFO", "WARNING", "ERROR")}
-TRACES = {mode: mode for mode in ("off", "wrong", "all")}
+TRACE_MODES = {mode: mode for mode in ("off", "wrong", "all")}
 # Clients hold a third of the descriptors at most: half leaves place for those that only hold connections.
-CLIENTS_PART, PEERS_PART = 2, 3
+CLIENT_SOCKETS_DIVISOR, PEER_SOCKETS_DIVISOR = 2, 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
 def decode(top: Section, environment: Section) -> Config:
     """Check and decode the configuration."""
-    limits, known, settings = top.section("limits"), top.section("known"), top.section("settings")
+    limits, initial_list, settings = top.section("limits"), top.section("known"), top.section("settings")
     seed = top.text("seed")
     try:
         seed_number = int(seed, 16)
@@ -83,26 +83,26 @@
     sockets = limits.integer("sockets", 1024, minimum=32)
     memory = limits.number("memory_mb", 192.0, minimum=24) * (1 << 20)
     names = read_name_tables(settings)
-    changes = read_events(known, names)
-    for change in changes:
-        if isinstance(change, UnusableEvent):
-            raise FieldError(change.reason)
+    events = read_events(initial_list, names)
+    for event in events:
+        if isinstance(event, UnusableEvent):
+            raise FieldError(event.reason)
     return Config(
         name=top.text("name"),
         listen=read_address(top, "listen"),
         seed=seed_number,
         memory_limit=int(memory),
-        max_clients=sockets // CLIENTS_PART,
-        max_peers=sockets // PEERS_PART,
+        max_clients=sockets // CLIENT_SOCKETS_DIVISOR,
+        max_peers=sockets // PEER_SOCKETS_DIVISOR,
         discovery_address=read_address(top, "changelog"),
-        last_seq=known.integer("seq", minimum=0),
-        initial_events=tuple(changes),
+        last_seq=initial_list.integer("seq", minimum=0),
+        initial_events=tuple(events),
         settings=read_settings(settings),
         names=names,
         links=read_network_settings(settings),
         log_level=environment.one_of(LOG_VARIABLE, LOG_LEVELS, "INFO"),
         log_format=environment.one_of(LOG_FORMAT_VARIABLE, LOG_FORMATS, "text"),
-        trace_mode=environment.one_of(TRACE_VARIABLE, TRACES, "off"),
+        trace_mode=environment.one_of(TRACE_VARIABLE, TRACE_MODES, "off"),
         operator_file=Path(path) if (path := environment.text(OPERATOR_VARIABLE, "")) else None,
         raw_settings=settings.values,
     )
--- a/cometseam/discovery/client.py
+++ b/cometseam/discovery/client.py
@@ -19,10 +19,12 @@
 from cometseam.protocol.discovery_events import DiscoveryEvent, EndpointList, parse_answer, poll_path
 from cometseam.settings import NameTables
 
-NAMED = 8  # endpoints of one event that are logged by name
-REST = 50.0  # ms between two looks at whether another front still reads discovery for this one
-READ_EVERY = 10.0  # ms between two reads that `read_now` makes
-FAULTS = (OSError, ProtocolError, h11.RemoteProtocolError, h11.LocalProtocolError)
+MAX_LOGGED_ENDPOINTS = 8  # endpoints of one event that are logged by name
+PASSIVE_CHECK_INTERVAL_MS = (
+    50.0  # ms between two looks at whether another front still reads discovery for this one
+)
+READ_NOW_INTERVAL_MS = 10.0  # ms between two reads that `read_now` makes
+CONNECTION_ERRORS = (OSError, ProtocolError, h11.RemoteProtocolError, h11.LocalProtocolError)
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +34,7 @@
     number: int
     connection: DiscoveryConnection
     scope: anyio.CancelScope
-    began_at: float
+    phase_started_at: float
     phase: str = "connecting"
     was_empty: bool = False  # the last answer told nothing
     was_answered: bool = False  # at least once, over this connection
@@ -49,12 +51,12 @@
     def __init__(
         self,
         address: tuple[str, int],
-        last: int,
+        last_seq: int,
         names: NameTables,
         on_events: Callable[[list[DiscoveryEvent]], None],
-        terms: PollPolicy | None = None,
+        poll_policy: PollPolicy | None = None,
         clock: Callable[[], float] = monotonic_ms,
-        confirmation: ConfirmationPolicy | None = None,
+        confirmation_policy: ConfirmationPolicy | None = None,
     ) -> None:
         """Begin after event `last`.
 
@@ -67,16 +69,18 @@
             clock: monotonic milliseconds.
             confirmation: when what is known counts as confirmed; the defaults where there are none.
         """
-        self._address, self._names, self._hand_on, self._clock = address, names, on_events, clock
-        self._sequence = EventSequence(last)
-        self._schedule = PollSchedule(terms or PollPolicy())
-        self._confirmation = ConfirmationTracker(confirmation or ConfirmationPolicy(), clock())
-        self._sent_unconfirmed = 0  # attempts, since what is known was last confirmed
+        self._address, self._names, self._on_events, self._clock = address, names, on_events, clock
+        self._sequence = EventSequence(last_seq)
+        self._schedule = PollSchedule(poll_policy or PollPolicy())
+        self._confirmation = ConfirmationTracker(confirmation_policy or ConfirmationPolicy(), clock())
+        self._unconfirmed_attempts = 0  # attempts, since what is known was last confirmed
         self._polls: dict[int, Poll] = {}
-        self._begun = 0
-        self._changed = anyio.Event()  # something ended, was answered or moved: the schedule is looked at
+        self._connections_started = 0
+        self._state_changed = (
+            anyio.Event()
+        )  # something ended, was answered or moved: the schedule is looked at
         self._tasks: TaskGroup | None = None
-        self._read_at = float("-inf")
+        self._last_read_at = float("-inf")
         # Calls `record_pause` where there was one.
         self.detect_process_pause: Callable[[], None] = lambda: None
         # Where one front reads discovery for all (`coordination.fleet_member`): whether this one rests, and
@@ -96,8 +100,8 @@
         self._address = address
         self._confirmation.address_changed(self._clock())
         for number in self._schedule.address_changed(self._clock()):
-            self._give_up(number, "discovery has another address")
-        self._changed.set()
+            self._abandon(number, "discovery has another address")
+        self._state_changed.set()
 
     def read_now(self) -> None:
         """Take in all that has come and lies unread, without waiting.
@@ -106,9 +110,9 @@
         before it comes to the answer of a poll that came before them.
         """
         now = self._clock()
-        if now - self._read_at < READ_EVERY:
+        if now - self._last_read_at < READ_NOW_INTERVAL_MS:
             return
-        self._read_at = now
+        self._last_read_at = now
         for poll in list(self._polls.values()):
             self._read(poll)
 
@@ -120,92 +124,92 @@
         """Take in that an attempt is written; return for how many ms what is known was unconfirmed."""
         unconfirmed_for = None if self.is_passive() else self._confirmation.unconfirmed_for(self._clock())
         if unconfirmed_for is not None:
-            self._sent_unconfirmed += 1
+            self._unconfirmed_attempts += 1
         return unconfirmed_for
 
-    def record_pause(self, lasted: float) -> None:
+    def record_pause(self, duration: float) -> None:
         """Take in that the process goes on after it has stood still for so many ms."""
-        self._confirmation.process_paused(self._clock(), lasted)
+        self._confirmation.process_paused(self._clock(), duration)
 
     def apply_shared_answer(self, text: bytes) -> bool:
         """Take in events that another front has read; return whether they go on from where this one is."""
         try:
-            accepted = self._accept(parse_answer(text, self._names), None)
+            error = self._accept_events(parse_answer(text, self._names), None)
         except ProtocolError:
-            accepted = "unreadable"
-        if accepted:
+            error = "unreadable"
+        if error:
             # Discovery itself was not asked yet: it may still tell what is missing.
             self._sequence.reset_retry()
-        return not accepted
+        return not error
 
     async def run(self) -> None:
         """Poll until cancelled; all connections end then."""
         try:
             async with anyio.create_task_group() as self._tasks:
                 while True:
-                    self._changed = anyio.Event()
-                    with anyio.move_on_after(self._check() / 1000.0):
-                        await self._changed.wait()
+                    self._state_changed = anyio.Event()
+                    with anyio.move_on_after(self._run_schedule() / 1000.0):
+                        await self._state_changed.wait()
         finally:
             for poll in self._polls.values():
                 poll.connection.close()
 
-    def _check(self) -> float:
+    def _run_schedule(self) -> float:
         """Do what the schedule says; return after how many ms it is to be asked again."""
         now = self._clock()
-        check = self._schedule.check(now)
-        for number in check.abandoned:
-            self._give_up(number, "no answer")
-        if check.start_connection and self.is_passive():
-            return REST
-        if check.start_connection:
-            self._begin(now)
-            check = self._schedule.check(now)
-        return max(check.next_check_at - now, 1.0)
-
-    def _begin(self, now: float) -> None:
+        decision = self._schedule.check(now)
+        for number in decision.abandoned:
+            self._abandon(number, "no answer")
+        if decision.start_connection and self.is_passive():
+            return PASSIVE_CHECK_INTERVAL_MS
+        if decision.start_connection:
+            self._start_connection(now)
+            decision = self._schedule.check(now)
+        return max(decision.next_check_at - now, 1.0)
+
+    def _start_connection(self, now: float) -> None:
         assert self._tasks is not None
         if len(self._schedule):
             COUNTERS.add("changelog.overdue")
-        self._begun += 1
-        self._schedule.connection_started(self._begun, now)
+        self._connections_started += 1
+        self._schedule.connection_started(self._connections_started, now)
         try:
             connection = DiscoveryConnection(self._address)
         except OSError as error:  # no descriptor: another try follows
-            self._schedule.connection_failed(self._begun, now)
-            self._say_failed(error, "connecting", 0.0)
+            self._schedule.connection_failed(self._connections_started, now)
+            self._log_failure(error, "connecting", 0.0)
             return
-        poll = Poll(self._begun, connection, anyio.CancelScope(), now)
+        poll = Poll(self._connections_started, connection, anyio.CancelScope(), now)
         self._polls[poll.number] = poll
         COUNTERS.record_max("changelog.connections", len(self._polls))
-        self._tasks.start_soon(self._run, poll)
+        self._tasks.start_soon(self._run_connection, poll)
 
-    async def _run(self, poll: Poll) -> None:
+    async def _run_connection(self, poll: Poll) -> None:
         """Poll over one connection until it ends."""
         try:
             with poll.scope:
                 await poll.connection.connect()
-                while await self._ask(poll):
+                while await self._send_poll(poll):
                     while poll.connection.pending:
                         await poll.connection.wait_for_input()
                         self._read(poll)
                     if poll.was_empty:  # one that answers at once with nothing must not keep the front busy
-                        await anyio.sleep(self._schedule.terms.initial_back_off / 1000.0)
+                        await anyio.sleep(self._schedule.policy.initial_back_off / 1000.0)
         except Exception as error:  # whatever it is, the list held stays and another poll begins
-            self._fail(poll, error)
+            self._handle_failure(poll, error)
         finally:
-            self._forget(poll)
+            self._remove(poll)
 
-    async def _ask(self, poll: Poll) -> bool:
+    async def _send_poll(self, poll: Poll) -> bool:
         """Write the next poll; False where the connection is not to be used again."""
         if poll.number not in self._polls:
             return False
         self.detect_process_pause()
         now = self._clock()
-        is_wanted = not poll.was_answered or self._confirmation.unconfirmed_for(now) is not None
-        hold = self._schedule.poll_sent(poll.number, now, immediate=is_wanted)
+        immediate = not poll.was_answered or self._confirmation.unconfirmed_for(now) is not None
+        hold = self._schedule.poll_sent(poll.number, now, immediate=immediate)
         self._confirmation.poll_sent(poll.number, now, hold, is_long_poll=poll.was_answered)
-        poll.phase, poll.began_at = "asked", now
+        poll.phase, poll.phase_started_at = "asked", now
         await poll.connection.send_poll(poll_path(self.last_seq, round(hold)))
         return True
 
@@ -215,44 +219,44 @@
         try:
             text = poll.connection.read()
             if text is not None:
-                self._answered(poll, text)
-        except FAULTS as error:
-            self._fail(poll, error)
-
-    def _answered(self, poll: Poll, text: bytes) -> None:
-        changes = parse_answer(text, self._names)
-        poll.was_empty = not changes
-        fault = self._accept(changes, poll)
-        if fault:
-            raise ProtocolError(fault)
+                self._handle_answer(poll, text)
+        except CONNECTION_ERRORS as error:
+            self._handle_failure(poll, error)
+
+    def _handle_answer(self, poll: Poll, text: bytes) -> None:
+        events = parse_answer(text, self._names)
+        poll.was_empty = not events
+        error = self._accept_events(events, poll)
+        if error:
+            raise ProtocolError(error)
         now = self._clock()
         poll.was_answered = True
         if confirmed := self._confirmation.poll_answered(poll.number, now):
-            self._say_confirmed(confirmed)
-        goes_on = self._schedule.poll_answered(poll.number, now)
+            self._log_confirmed(confirmed)
+        keeps_connection = self._schedule.poll_answered(poll.number, now)
         self.on_answer(text)
-        self._changed.set()
-        if not goes_on or self.is_passive() or not poll.connection.prepare_next_poll():
-            self._forget(poll)
+        self._state_changed.set()
+        if not keeps_connection or self.is_passive() or not poll.connection.prepare_next_poll():
+            self._remove(poll)
             poll.scope.cancel()
 
-    def _accept(self, changes: list[DiscoveryEvent], poll: Poll | None) -> str:
+    def _accept_events(self, events: list[DiscoveryEvent], poll: Poll | None) -> str:
         """Hand on what is new of an answer; return what is wrong with it (empty: nothing)."""
-        accepted = self._sequence.accept(changes)
-        if accepted.duplicates:
-            COUNTERS.add("changelog.repeated", accepted.duplicates)
-        for unusable in accepted.skipped:
+        result = self._sequence.accept(events)
+        if result.duplicates:
+            COUNTERS.add("changelog.repeated", result.duplicates)
+        for unusable in result.skipped:
             COUNTERS.add("changelog.passed_over")
             log_event("changelog.passed_over", seq=unusable.seq, why=unusable.reason)
-        waited = self._clock() - poll.began_at if poll is not None else 0.0
-        for change in accepted.events:
-            _say_applied(change, waited)
-        if accepted.events:
-            COUNTERS.add("changelog.events", len(accepted.events))
-            self._hand_on(accepted.events)
-        return accepted.error
-
-    def _give_up(self, number: int, why: str) -> None:
+        waited = self._clock() - poll.phase_started_at if poll is not None else 0.0
+        for event in result.events:
+            _log_applied(event, waited)
+        if result.events:
+            COUNTERS.add("changelog.events", len(result.events))
+            self._on_events(result.events)
+        return result.error
+
+    def _abandon(self, number: int, reason: str) -> None:
         """End a connection; what lies unread on it is taken in first."""
         poll = self._polls.get(number)
         if poll is None:
@@ -260,42 +264,42 @@
             return
         self._read(poll)
         if poll.number in self._polls:
-            self._fail(poll, TimeoutError(why))
+            self._handle_failure(poll, TimeoutError(reason))
 
-    def _fail(self, poll: Poll, error: Exception) -> None:
+    def _handle_failure(self, poll: Poll, error: Exception) -> None:
         if poll.number not in self._polls:
             return
         COUNTERS.add("changelog.failed")
         now = self._clock()
-        self._say_failed(error, poll.phase, now - poll.began_at)
+        self._log_failure(error, poll.phase, now - poll.phase_started_at)
         self._schedule.connection_failed(poll.number, now)
         if isinstance(error, ConnectionRefusedError) or getattr(error, "errno", 0) == errno.ECONNREFUSED:
             self._confirmation.connection_refused(now)
-        self._forget(poll)
+        self._remove(poll)
         poll.scope.cancel()
 
-    def _say_failed(self, error: Exception, phase: str, waited: float) -> None:
-        kind, why = type(error).__name__, str(error)
-        log_event("changelog.failed", kind=kind, why=why, phase=phase, waited=waited, since=self.last_seq)
+    def _log_failure(self, error: Exception, phase: str, waited: float) -> None:
+        kind, reason = type(error).__name__, str(error)
+        log_event("changelog.failed", kind=kind, why=reason, phase=phase, waited=waited, since=self.last_seq)
 
-    def _say_confirmed(self, confirmed: Confirmed) -> None:
-        sent, self._sent_unconfirmed = self._sent_unconfirmed, 0
+    def _log_confirmed(self, confirmed: Confirmed) -> None:
+        sent, self._unconfirmed_attempts = self._unconfirmed_attempts, 0
         COUNTERS.record_max("discovery.unconfirmed_ms", confirmed.duration)
         log_event("discovery.confirmed", cause=str(confirmed.cause), lasted=confirmed.duration, sent=sent)
 
-    def _forget(self, poll: Poll) -> None:
+    def _remove(self, poll: Poll) -> None:
         if self._polls.pop(poll.number, None) is not None:
             self._confirmation.poll_ended(poll.number, self._clock())
             self._schedule.connection_closed(poll.number)
-            self._changed.set()
+            self._state_changed.set()
         poll.connection.close()
 
 
-def _say_applied(change: DiscoveryEvent, waited: float) -> None:
+def _log_applied(event: DiscoveryEvent, waited: float) -> None:
     """Log a change of the list of endpoints: who is in which state from now on."""
-    if not isinstance(change, EndpointList):
+    if not isinstance(event, EndpointList):
         return
-    states = [f"{line.name} {line.lifecycle.name.lower()}" for line in change.entries[:NAMED]]
-    more = len(change.entries) - len(states)
-    endpoints = ", ".join(states) + (f" and {more} more" if more else "")
-    log_event("changelog.applied", seq=change.seq, endpoints=endpoints, waited=waited)
+    states = [f"{line.name} {line.lifecycle.name.lower()}" for line in event.entries[:MAX_LOGGED_ENDPOINTS]]
+    omitted = len(event.entries) - len(states)
+    endpoints = ", ".join(states) + (f" and {omitted} more" if omitted else "")
+    log_event("changelog.applied", seq=event.seq, endpoints=endpoints, waited=waited)
--- a/cometseam/discovery/confirmation.py
+++ b/cometseam/discovery/confirmation.py
@@ -34,8 +34,8 @@
     @classmethod
     def for_drain_grace(cls, grace: float) -> "ConfirmationPolicy":
         """Return the terms for a grace of drains in ms: a gap is at most half of it."""
-        usual = cls()
-        return cls(max_gap=min(usual.max_gap, 0.5 * grace))
+        defaults = cls()
+        return cls(max_gap=min(defaults.max_gap, 0.5 * grace))
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,103 +47,111 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Unconfirmed:
+class _UnconfirmedState:
     cause: UnconfirmedCause
     since: float
-    asked_from: float  # an answer to a poll asked from then on confirms
+    polls_count_from: float  # an answer to a poll asked from then on confirms
     wait_until: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
-    at: float
-    until: float  # when discovery answers at the latest, if it is well
-    is_watch: bool  # held by discovery until something happens, on a connection that has been answered
+class _OutstandingPoll:
+    sent_at: float
+    answer_due_at: float  # when discovery answers at the latest, if it is well
+    is_long_poll: bool  # held by discovery until something happens, on a connection that has been answered
 
 
 class ConfirmationTracker:
     """Follows the polls of one front."""
 
-    def __init__(self, terms: ConfirmationPolicy, now: float) -> None:
+    def __init__(self, policy: ConfirmationPolicy, now: float) -> None:
         """Begin with a list of unknown age."""
-        self._terms = terms
-        self._asked: dict[int, _Asked] = {}
-        self._unasked_since = now  # while no watch is outstanding
+        self._policy = policy
+        self._outstanding: dict[int, _OutstandingPoll] = {}
+        self._not_polled_since = now  # while no watch is outstanding
         self._refusals = 0
-        self._state: _Unconfirmed | None = _Unconfirmed(
-            UnconfirmedCause.START, now, now, now + terms.start_wait
+        self._unconfirmed: _UnconfirmedState | None = _UnconfirmedState(
+            UnconfirmedCause.START, now, now, now + policy.start_wait
         )
 
     def unconfirmed_for(self, now: float) -> float | None:
         """Return for how long what is known has been unconfirmed; None where it is confirmed."""
-        self._look(now)
-        return None if self._state is None else now - self._state.since
+        self._detect_gap(now)
+        return None if self._unconfirmed is None else now - self._unconfirmed.since
 
     def remaining_wait(self, now: float) -> float:
         """Return for how long requests wait at most until discovery has answered; 0: they may go out."""
-        self._look(now)
-        return 0.0 if self._state is None else max(self._state.wait_until - now, 0.0)
+        self._detect_gap(now)
+        return 0.0 if self._unconfirmed is None else max(self._unconfirmed.wait_until - now, 0.0)
 
     def poll_sent(self, number: int, now: float, hold: float, is_long_poll: bool) -> None:
         """Take in that a poll is written on a connection."""
-        self._look(now)
-        self._asked[number] = _Asked(now, now + hold, is_long_poll and self._state is None)
+        self._detect_gap(now)
+        self._outstanding[number] = _OutstandingPoll(
+            now, now + hold, is_long_poll and self._unconfirmed is None
+        )
 
     def poll_answered(self, number: int, now: float) -> Confirmed | None:
         """Take in that a poll is answered; return what that has confirmed."""
-        self._look(now)
-        asked = self._asked.get(number)
+        self._detect_gap(now)
+        poll = self._outstanding.get(number)
         self.poll_ended(number, now)
         self._refusals = 0
-        state = self._state
-        if asked is None or state is None or asked.at < state.asked_from:
+        state = self._unconfirmed
+        if poll is None or state is None or poll.sent_at < state.polls_count_from:
             return None
-        self._state, self._unasked_since = None, now
+        self._unconfirmed, self._not_polled_since = None, now
         return Confirmed(state.cause, now - state.since)
 
     def poll_ended(self, number: int, now: float) -> None:
         """Take in that a poll is answered, or that its connection has ended."""
-        asked = self._asked.pop(number, None)
-        if asked is not None and asked.is_watch and not self._is_watched():
-            self._unasked_since = now
+        poll = self._outstanding.pop(number, None)
+        if poll is not None and poll.is_long_poll and not self._has_long_poll():
+            self._not_polled_since = now
 
     def connection_refused(self, now: float) -> None:
         """Take in that discovery refuses connections: it tells nobody anything."""
         self._refusals += 1
-        state = self._state
+        state = self._unconfirmed
         if (
             state is not None
             and state.cause is not UnconfirmedCause.START
-            and self._refusals >= self._terms.max_refusals
+            and self._refusals >= self._policy.max_refusals
         ):
-            self._state = _Unconfirmed(state.cause, state.since, state.asked_from, min(state.wait_until, now))
+            self._unconfirmed = _UnconfirmedState(
+                state.cause, state.since, state.polls_count_from, min(state.wait_until, now)
+            )
 
     def address_changed(self, now: float) -> None:
         """Take in that discovery has another address: polls outstanding at the old one show nothing of it."""
-        self._look(now)
-        self._asked.clear()
-        self._unasked_since = now
+        self._detect_gap(now)
+        self._outstanding.clear()
+        self._not_polled_since = now
 
-    def process_paused(self, now: float, lasted: float) -> None:
+    def process_paused(self, now: float, duration: float) -> None:
         """Take in that the process goes on after it has stood still for so long.
 
         A poll that was outstanding all the while, and is not due yet, would have been answered.
         """
-        if lasted <= self._terms.max_gap or self._covers(now - lasted, now):
+        if duration <= self._policy.max_gap or self._was_polled_throughout(now - duration, now):
             return
-        self._state = _Unconfirmed(UnconfirmedCause.PROCESS_PAUSED, now, now, now + self._terms.gap_wait)
+        self._unconfirmed = _UnconfirmedState(
+            UnconfirmedCause.PROCESS_PAUSED, now, now, now + self._policy.gap_wait
+        )
 
-    def _covers(self, since: float, now: float) -> bool:
-        due_from = now - self._terms.max_gap
-        watches = (each for each in self._asked.values() if each.is_watch)
-        return any(each.at <= since and each.until >= due_from for each in watches)
+    def _was_polled_throughout(self, since: float, now: float) -> bool:
+        due_from = now - self._policy.max_gap
+        long_polls = (each for each in self._outstanding.values() if each.is_long_poll)
+        return any(each.sent_at <= since and each.answer_due_at >= due_from for each in long_polls)
 
-    def _is_watched(self) -> bool:
-        return any(each.is_watch for each in self._asked.values())
+    def _has_long_poll(self) -> bool:
+        return any(each.is_long_poll for each in self._outstanding.values())
 
-    def _look(self, now: float) -> None:
+    def _detect_gap(self, now: float) -> None:
         """Notice that no watch has been outstanding for too long."""
-        since = self._unasked_since + self._terms.max_gap
-        if self._state is None and not self._is_watched() and now > since:
-            wait_until = since + self._terms.gap_wait
-            self._state = _Unconfirmed(UnconfirmedCause.NOT_POLLED, since, self._unasked_since, wait_until)
+        since = self._not_polled_since + self._policy.max_gap
+        if self._unconfirmed is None and not self._has_long_poll() and now > since:
+            wait_until = since + self._policy.gap_wait
+            self._unconfirmed = _UnconfirmedState(
+                UnconfirmedCause.NOT_POLLED, since, self._not_polled_since, wait_until
+            )
--- a/cometseam/discovery/connection.py
+++ b/cometseam/discovery/connection.py
@@ -14,8 +14,8 @@
 from cometseam.protocol import ProtocolError
 from cometseam.protocol.discovery_events import MAX_ANSWER_BYTES
 
-READ_SIZE = 65536  # bytes a call
-HEAD_SIZE = 65536  # bytes of an answer's head at the most
+READ_BYTES = 65536  # bytes a call
+MAX_HEAD_BYTES = 65536  # bytes of an answer's head at the most
 
 
 class DiscoveryConnection:
@@ -26,10 +26,10 @@
         self.address = address
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setblocking(False)
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_SIZE)
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._body = bytearray()
-        self._has_end = True  # the answer's end is told by its head; else by the end of the connection
-        self._waiting: anyio.CancelScope | None = None
+        self._is_delimited = True  # the answer's end is told by its head; else by the end of the connection
+        self._wait_scope: anyio.CancelScope | None = None
         self.pending = False  # a poll is written and its answer is not whole
         self.closed = False
 
@@ -41,8 +41,8 @@
             if error.errno != errno.EINPROGRESS:  # EAGAIN: no local port is free
                 raise
             await anyio.wait_writable(self._socket)
-        if failed := self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            raise OSError(failed, "not connected")
+        if error_code := self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+            raise OSError(error_code, "not connected")
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     async def send_poll(self, target: str) -> None:
@@ -62,9 +62,9 @@
         """Wait until something has come in, or `read` has had the answer meanwhile."""
         if not self.pending:
             return
-        with anyio.CancelScope() as self._waiting:
+        with anyio.CancelScope() as self._wait_scope:
             await anyio.wait_readable(self._socket)
-        self._waiting = None
+        self._wait_scope = None
 
     def read(self) -> bytes | None:
         """Read what has come in; return the answer's text once it is whole.
@@ -76,28 +76,28 @@
         """
         while self.pending and not self.closed:
             try:
-                data = self._socket.recv(READ_SIZE)
+                data = self._socket.recv(READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 return None
             self._http.receive_data(data)
-            text = self._take()
+            text = self._next_body()
             if text is not None:
                 self.pending = False
-                if self._waiting is not None:
-                    self._waiting.cancel()
+                if self._wait_scope is not None:
+                    self._wait_scope.cancel()
                 return text
         return None
 
-    def _take(self) -> bytes | None:
+    def _next_body(self) -> bytes | None:
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                return None if self._has_end else self._whole_without_end()
+                return None if self._is_delimited else self._complete_undelimited_body()
             if isinstance(event, h11.Response):
                 if event.status_code != 200:
                     raise ProtocolError(f"status {event.status_code}")
                 names = {name for name, _ in event.headers}
-                self._has_end = bool(names & {b"content-length", b"transfer-encoding"})
+                self._is_delimited = bool(names & {b"content-length", b"transfer-encoding"})
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > MAX_ANSWER_BYTES:
@@ -107,7 +107,7 @@
             elif isinstance(event, h11.ConnectionClosed):
                 raise ProtocolError("the connection ended inside an answer")
 
-    def _whole_without_end(self) -> bytes | None:
+    def _complete_undelimited_body(self) -> bytes | None:
         """Return an answer that only the connection's end would end, once its text is whole."""
         if not self._body.rstrip().endswith(b"}"):
             return None
--- a/cometseam/discovery/schedule.py
+++ b/cometseam/discovery/schedule.py
@@ -33,13 +33,13 @@
     @classmethod
     def for_drain_grace(cls, grace: float) -> "PollPolicy":
         """Return the terms for a grace of drains in ms: no wait is over half of it."""
-        usual = cls()
-        patience = min(usual.quick_allowance, 0.4 * grace)
+        defaults = cls()
+        allowance = min(defaults.quick_allowance, 0.4 * grace)
         return cls(
-            quick_allowance=patience,
-            connect_allowance=patience,
-            connection_interval=min(usual.connection_interval, 0.5 * grace),
-            max_back_off=max(min(usual.max_back_off, 0.2 * grace), usual.initial_back_off),
+            quick_allowance=allowance,
+            connect_allowance=allowance,
+            connection_interval=min(defaults.connection_interval, 0.5 * grace),
+            max_back_off=max(min(defaults.max_back_off, 0.2 * grace), defaults.initial_back_off),
         )
 
 
@@ -47,9 +47,9 @@
 class TrackedConnection:
     """One connection: coming up (`hold` is None), or with a poll that is not answered yet."""
 
-    since: float
+    started_at: float
     hold: float | None = None
-    current: bool = True  # to the address that is configured now
+    uses_current_address: bool = True  # to the address that is configured now
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,49 +64,55 @@
 class PollSchedule:
     """Decides for all connections of one front; a connection goes by a number that the caller gives it."""
 
-    def __init__(self, terms: PollPolicy) -> None:
+    def __init__(self, policy: PollPolicy) -> None:
         """Begin with no connection."""
-        self.terms = terms
-        self._outstanding: dict[int, TrackedConnection] = {}
-        self._begin_from = float("-inf")  # no connection begins before
-        self._wait = terms.initial_back_off
+        self.policy = policy
+        self._connections: dict[int, TrackedConnection] = {}
+        self._earliest_start = float("-inf")  # no connection begins before
+        self._back_off = policy.initial_back_off
 
     def __len__(self) -> int:
         """Return how many connections there are."""
-        return len(self._outstanding)
+        return len(self._connections)
 
     def check(self, now: float) -> ScheduleDecision:
         """Tell whether another connection is to begin, and which ones are given up."""
-        lost = tuple(number for number, each in self._outstanding.items() if self._lost_at(each) <= now)
-        live = [each for number, each in self._outstanding.items() if number not in lost]
-        overdue_at = max((self._overdue_at(each) for each in live if each.current), default=now)
-        begin_at = max(overdue_at, self._begin_from)
-        begin = begin_at <= now
-        if begin and len(live) >= self.terms.max_connections:
-            lost = (*lost, self._least_promising(lost))
-        times = [self._lost_at(each) for number, each in self._outstanding.items() if number not in lost]
-        if not begin:
-            times.append(begin_at)
-        return ScheduleDecision(begin, lost, min(times, default=now + self.terms.hold))
-
-    def _least_promising(self, lost: tuple[int, ...]) -> int:
+        abandoned = tuple(
+            number for number, each in self._connections.items() if self._abandon_at(each) <= now
+        )
+        remaining = [each for number, each in self._connections.items() if number not in abandoned]
+        overdue_at = max(
+            (self._overdue_at(each) for each in remaining if each.uses_current_address), default=now
+        )
+        start_at = max(overdue_at, self._earliest_start)
+        start = start_at <= now
+        if start and len(remaining) >= self.policy.max_connections:
+            abandoned = (*abandoned, self._connection_to_replace(abandoned))
+        times = [
+            self._abandon_at(each) for number, each in self._connections.items() if number not in abandoned
+        ]
+        if not start:
+            times.append(start_at)
+        return ScheduleDecision(start, abandoned, min(times, default=now + self.policy.hold))
+
+    def _connection_to_replace(self, abandoned: tuple[int, ...]) -> int:
         """Return the connection that gives its place to another.
 
         That is the newest with no poll yet, as no answer can be lost with it. Where all have one, it is the
         longest unanswered but for the oldest, which a very slow discovery still answers: a newer one's answer
         may be on its way, and the front would be notified without knowing.
         """
-        left = {number: each for number, each in self._outstanding.items() if number not in lost}
-        coming_up = [number for number, each in left.items() if each.hold is None]
-        if coming_up:
-            return max(coming_up, key=lambda number: left[number].since)
-        return sorted(left, key=lambda number: left[number].since)[self.terms.protected_polls]
+        remaining = {number: each for number, each in self._connections.items() if number not in abandoned}
+        connecting = [number for number, each in remaining.items() if each.hold is None]
+        if connecting:
+            return max(connecting, key=lambda number: remaining[number].started_at)
+        return sorted(remaining, key=lambda number: remaining[number].started_at)[self.policy.protected_polls]
 
     def connection_started(self, number: int, now: float) -> None:
         """Take in that a connection begins to come up."""
-        if any(each.current for each in self._outstanding.values()):
-            self._begin_from = now + self.terms.connection_interval
-        self._outstanding[number] = TrackedConnection(now)
+        if any(each.uses_current_address for each in self._connections.values()):
+            self._earliest_start = now + self.policy.connection_interval
+        self._connections[number] = TrackedConnection(now)
 
     def poll_sent(self, number: int, now: float, immediate: bool = False) -> float:
         """Take in that a poll is written on a connection; return how long discovery may hold it.
@@ -116,12 +122,14 @@
             now: the time.
             at_once: the answer is wanted now, also where it tells nothing.
         """
-        outstanding = self._outstanding[number]
-        is_first = outstanding.hold is None
-        others = [each for other, each in self._outstanding.items() if other != number and each.current]
+        connection = self._connections[number]
+        is_first = connection.hold is None
+        others = [
+            each for other, each in self._connections.items() if other != number and each.uses_current_address
+        ]
         immediate = immediate or (is_first and bool(others))
-        hold = self.terms.quick_hold if immediate else self.terms.hold
-        outstanding.since, outstanding.hold = now, hold
+        hold = self.policy.quick_hold if immediate else self.policy.hold
+        connection.started_at, connection.hold = now, hold
         return hold
 
     def poll_answered(self, number: int, now: float) -> bool:
@@ -129,22 +137,24 @@
 
         It does not where another connection polls well, or where discovery has moved.
         """
-        self._wait = self.terms.initial_back_off
+        self._back_off = self.policy.initial_back_off
         # One that answers at once with nothing, and ends each connection, must not keep the front busy.
-        self._begin_from = now + self.terms.initial_back_off
-        answered = self._outstanding[number]
-        others = [each for other, each in self._outstanding.items() if other != number and each.current]
-        return answered.current and not any(now < self._overdue_at(each) for each in others)
+        self._earliest_start = now + self.policy.initial_back_off
+        answered = self._connections[number]
+        others = [
+            each for other, each in self._connections.items() if other != number and each.uses_current_address
+        ]
+        return answered.uses_current_address and not any(now < self._overdue_at(each) for each in others)
 
     def connection_closed(self, number: int) -> None:
         """Take in that a connection is closed."""
-        self._outstanding.pop(number, None)
+        self._connections.pop(number, None)
 
     def connection_failed(self, number: int, now: float) -> None:
         """Take in that a connection broke, was refused, or brought what cannot be used."""
         self.connection_closed(number)
-        self._begin_from = now + self._wait
-        self._wait = min(2.0 * self._wait, self.terms.max_back_off)
+        self._earliest_start = now + self._back_off
+        self._back_off = min(2.0 * self._back_off, self.policy.max_back_off)
 
     def address_changed(self, now: float) -> list[int]:
         """Take in that discovery has another address: a connection to it begins at once.
@@ -152,23 +162,23 @@
         Polls that are outstanding at the old one may still be answered. Returned are the connections that are
         to end: those with no poll yet, and the oldest where there would be no place for the new one.
         """
-        self._wait, self._begin_from = self.terms.initial_back_off, now
-        for each in self._outstanding.values():
-            each.current = False
-        ends = [number for number, each in self._outstanding.items() if each.hold is None]
-        polled = [number for number in self._outstanding if number not in ends]
-        if len(polled) >= self.terms.max_connections:
-            ends.append(min(polled, key=lambda number: self._outstanding[number].since))
-        return ends
+        self._back_off, self._earliest_start = self.policy.initial_back_off, now
+        for each in self._connections.values():
+            each.uses_current_address = False
+        to_close = [number for number, each in self._connections.items() if each.hold is None]
+        with_poll = [number for number in self._connections if number not in to_close]
+        if len(with_poll) >= self.policy.max_connections:
+            to_close.append(min(with_poll, key=lambda number: self._connections[number].started_at))
+        return to_close
 
     def _overdue_at(self, each: TrackedConnection) -> float:
         if each.hold is None:
-            return each.since + self.terms.connect_allowance
-        is_quick = each.hold <= self.terms.quick_hold
-        patience = self.terms.quick_allowance if is_quick else self.terms.answer_allowance
-        return each.since + each.hold + patience
+            return each.started_at + self.policy.connect_allowance
+        is_quick = each.hold <= self.policy.quick_hold
+        allowance = self.policy.quick_allowance if is_quick else self.policy.answer_allowance
+        return each.started_at + each.hold + allowance
 
-    def _lost_at(self, each: TrackedConnection) -> float:
+    def _abandon_at(self, each: TrackedConnection) -> float:
         if each.hold is None:
-            return each.since + self.terms.connect_abandon_after
-        return each.since + each.hold + self.terms.abandon_after
+            return each.started_at + self.policy.connect_abandon_after
+        return each.started_at + each.hold + self.policy.abandon_after
--- a/cometseam/discovery/sequence.py
+++ b/cometseam/discovery/sequence.py
@@ -22,57 +22,57 @@
     better then, what can be used of it is taken: later drains and purges count more than what is missing.
     """
 
-    def __init__(self, last: int) -> None:
+    def __init__(self, last_seq: int) -> None:
         """Begin after the event of this number."""
-        self.last_seq = last
-        self._doubted = (0, 0)  # the number that was due, and the event that came and was not taken
+        self.last_seq = last_seq
+        self._retry_requested = (0, 0)  # the number that was due, and the event that came and was not taken
 
-    def accept(self, changes: list[DiscoveryEvent]) -> AcceptResult:
+    def accept(self, events: list[DiscoveryEvent]) -> AcceptResult:
         """Take in the events of an answer, ordered by number."""
-        accepted = AcceptResult()
-        for place, change in enumerate(changes):
-            due = self.last_seq + 1
-            if change.seq < due:
-                accepted.duplicates += 1
+        result = AcceptResult()
+        for index, event in enumerate(events):
+            expected_seq = self.last_seq + 1
+            if event.seq < expected_seq:
+                result.duplicates += 1
                 continue
-            if self._is_doubtful(change, due) and self._doubted != (due, change.seq):
-                self._doubted = (due, change.seq)
-                accepted.error = f"event {due}: {_why(change)}"
-                if change.seq == due:  # a gap says less: its numbers may not be those of this front
-                    accepted.events += _restrictions(changes[place:])
-                return accepted
-            self.last_seq = change.seq
-            if isinstance(change, UnusableEvent):
-                accepted.skipped.append(change)
-                accepted.events += [change.usable] if change.usable is not None else []
+            if self._needs_retry(event, expected_seq) and self._retry_requested != (expected_seq, event.seq):
+                self._retry_requested = (expected_seq, event.seq)
+                result.error = f"event {expected_seq}: {_describe_problem(event)}"
+                if event.seq == expected_seq:  # a gap says less: its numbers may not be those of this front
+                    result.events += _restricting_events(events[index:])
+                return result
+            self.last_seq = event.seq
+            if isinstance(event, UnusableEvent):
+                result.skipped.append(event)
+                result.events += [event.usable] if event.usable is not None else []
             else:
-                accepted.events.append(change)
-        return accepted
+                result.events.append(event)
+        return result
 
     def reset_retry(self) -> None:
         """Have the next doubtful event asked for anew: what was doubted came from elsewhere."""
-        self._doubted = (0, 0)
+        self._retry_requested = (0, 0)
 
     @staticmethod
-    def _is_doubtful(change: DiscoveryEvent, due: int) -> bool:
-        return change.seq > due or isinstance(change, UnusableEvent)
+    def _needs_retry(event: DiscoveryEvent, expected_seq: int) -> bool:
+        return event.seq > expected_seq or isinstance(event, UnusableEvent)
 
 
-def _why(change: DiscoveryEvent) -> str:
-    return change.reason if isinstance(change, UnusableEvent) else f"event {change.seq} instead of it"
+def _describe_problem(event: DiscoveryEvent) -> str:
+    return event.reason if isinstance(event, UnusableEvent) else f"event {event.seq} instead of it"
 
 
-def _restrictions(changes: list[DiscoveryEvent]) -> list[DiscoveryEvent]:
+def _restricting_events(events: list[DiscoveryEvent]) -> list[DiscoveryEvent]:
     """Return what is safe to act on before events are asked for again: endpoints that take no more, purges.
 
     They were told with this answer; the next one may take a while.
     """
     safe: list[DiscoveryEvent] = []
-    for change in changes:
-        listing = change.usable if isinstance(change, UnusableEvent) else change
-        if isinstance(listing, Purge):
-            safe.append(listing)
-        elif listing is not None:
-            lines = tuple(line for line in listing.entries if not line.is_ready)
-            safe += [EndpointList(listing.seq, False, lines)] if lines else []
+    for event in events:
+        usable = event.usable if isinstance(event, UnusableEvent) else event
+        if isinstance(usable, Purge):
+            safe.append(usable)
+        elif usable is not None:
+            entries = tuple(line for line in usable.entries if not line.is_ready)
+            safe += [EndpointList(usable.seq, False, entries)] if entries else []
     return safe
--- a/cometseam/events.py
+++ b/cometseam/events.py
@@ -152,21 +152,23 @@
 
     Of what the other side may cause at will one line of a kind goes out in a while; the rest is counted.
     """
-    known = EVENTS[event]
-    assert fields.keys() == known.fields.keys(), f"{event}: {sorted(fields)}"
-    assert all(isinstance(fields[name], kind) for name, kind in known.fields.items()), f"{event}: {fields}"
-    if known.rate_limited:
+    spec = EVENTS[event]
+    assert fields.keys() == spec.fields.keys(), f"{event}: {sorted(fields)}"
+    assert all(isinstance(fields[name], kind) for name, kind in spec.fields.items()), f"{event}: {fields}"
+    if spec.rate_limited:
         now = time.monotonic()
         if now - _logged.get(event, -RATE_LIMIT_WINDOW_S) < RATE_LIMIT_WINDOW_S:
             COUNTERS.add("log.left_out")
             return
         _logged[event] = now
-    told = {name: _told(value) if isinstance(value, dict) else value for name, value in fields.items()}
-    text = known.text.format(**told)
-    logger.opt(exception=error).bind(event=event, fields=fields).log(known.level, "{}", text)
+    values = {
+        name: _format_counts(value) if isinstance(value, dict) else value for name, value in fields.items()
+    }
+    text = spec.text.format(**values)
+    logger.opt(exception=error).bind(event=event, fields=fields).log(spec.level, "{}", text)
 
 
-def _told(counts: dict[str, Any]) -> str:
+def _format_counts(counts: dict[str, Any]) -> str:
     return " ".join(
         f"{name}={value:.1f}" if isinstance(value, float) else f"{name}={value}"
         for name, value in counts.items()
@@ -189,10 +191,10 @@
     sys.stderr.flush()
 
 
-def configure_logging(level: str, form: str) -> None:
+def configure_logging(level: str, log_format: str) -> None:
     """Log to standard error from a level up, as `text` or `json`."""
     logger.remove()
-    if form == "json":
+    if log_format == "json":
         logger.add(_write_json, level=level, format="{message}", backtrace=False, diagnose=False)
     else:
         logger.add(sys.stderr, level=level, format="{time:HH:mm:ss.SSS} {level} {message}",
--- a/cometseam/json_section.py
+++ b/cometseam/json_section.py
@@ -14,7 +14,7 @@
 
     def __init__(self, values: Any, path: str = "") -> None:
         if not isinstance(values, dict):
-            raise FieldError(f"{path or 'the text'}: an object was expected, not {_told(values)}")
+            raise FieldError(f"{path or 'the text'}: an object was expected, not {_abbreviate(values)}")
         self.values: dict[str, Any] = values
         self.path = path
 
@@ -22,38 +22,38 @@
         """Return the path of a key."""
         return f"{self.path}.{key}" if self.path else key
 
-    def _get(self, key: str, absent: Any) -> Any:
+    def _get(self, key: str, default: Any) -> Any:
         if key in self.values:
             return self.values[key]
-        if absent is None:
+        if default is None:
             raise FieldError(f"{self.key_path(key)}: missing")
-        return absent
+        return default
 
-    def section(self, key: str, absent: dict[str, Any] | None = None) -> "Section":
+    def section(self, key: str, default: dict[str, Any] | None = None) -> "Section":
         """Return a mapping."""
-        return Section(self._get(key, absent), self.key_path(key))
+        return Section(self._get(key, default), self.key_path(key))
 
     def sections(self, key: str) -> Iterator["Section"]:
         """Yield the mappings of a list."""
-        for place, value in enumerate(self.list(key)):
-            yield Section(value, f"{self.key_path(key)}[{place}]")
+        for index, value in enumerate(self.list(key)):
+            yield Section(value, f"{self.key_path(key)}[{index}]")
 
-    def list(self, key: str, absent: tuple[()] | None = None) -> Any:
+    def list(self, key: str, default: tuple[()] | None = None) -> Any:
         """Return a list as it stands."""
-        value = self._get(key, absent)
+        value = self._get(key, default)
         if not isinstance(value, list | tuple):
-            raise FieldError(f"{self.key_path(key)}: a list was expected, not {_told(value)}")
+            raise FieldError(f"{self.key_path(key)}: a list was expected, not {_abbreviate(value)}")
         return value
 
-    def number(self, key: str, absent: float | None = None, minimum: float = -math.inf) -> float:
+    def number(self, key: str, default: float | None = None, minimum: float = -math.inf) -> float:
         """Return a finite number that is not below `minimum`."""
-        return self._number(self.key_path(key), self._get(key, absent), minimum)
+        return self._number(self.key_path(key), self._get(key, default), minimum)
 
-    def integer(self, key: str, absent: int | None = None, minimum: float = -math.inf) -> int:
+    def integer(self, key: str, default: int | None = None, minimum: float = -math.inf) -> int:
         """Return a whole number."""
-        value = self.number(key, absent, minimum)
+        value = self.number(key, default, minimum)
         if value != int(value):
-            raise FieldError(f"{self.key_path(key)}: a whole number was expected, not {_told(value)}")
+            raise FieldError(f"{self.key_path(key)}: a whole number was expected, not {_abbreviate(value)}")
         return int(value)
 
     def numbers(self, key: str) -> tuple[float, ...]:
@@ -63,18 +63,18 @@
             self._number(f"{self.key_path(key)}[{place}]", value) for place, value in enumerate(values)
         )
 
-    def _number(self, path: str, value: Any, low: float = -math.inf) -> float:
+    def _number(self, path: str, value: Any, minimum: float = -math.inf) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            raise FieldError(f"{path}: a number was expected, not {_told(value)}")
-        if value < low:
-            raise FieldError(f"{path}: at least {low:g} was expected, not {value:g}")
+            raise FieldError(f"{path}: a number was expected, not {_abbreviate(value)}")
+        if value < minimum:
+            raise FieldError(f"{path}: at least {minimum:g} was expected, not {value:g}")
         return float(value)
 
-    def flag(self, key: str, absent: bool | None = None) -> bool:
+    def flag(self, key: str, default: bool | None = None) -> bool:
         """Return true or false."""
-        value = self._get(key, absent)
+        value = self._get(key, default)
         if not isinstance(value, bool):
-            raise FieldError(f"{self.key_path(key)}: true or false was expected, not {_told(value)}")
+            raise FieldError(f"{self.key_path(key)}: true or false was expected, not {_abbreviate(value)}")
         return value
 
     def flags(self, key: str) -> tuple[bool, ...]:
@@ -84,19 +84,19 @@
             raise FieldError(f"{self.key_path(key)}: true or false was expected in each place")
         return tuple(values)
 
-    def text(self, key: str, absent: str | None = None) -> str:
+    def text(self, key: str, default: str | None = None) -> str:
         """Return a text."""
-        value = self._get(key, absent)
+        value = self._get(key, default)
         if not isinstance(value, str):
-            raise FieldError(f"{self.key_path(key)}: a text was expected, not {_told(value)}")
+            raise FieldError(f"{self.key_path(key)}: a text was expected, not {_abbreviate(value)}")
         return value
 
-    def one_of(self, key: str, known: dict[str, Any], absent: str | None = None) -> Any:
+    def one_of(self, key: str, choices: dict[str, Any], default: str | None = None) -> Any:
         """Return what stands for one of the known words."""
-        word = self.text(key, absent)
-        if word not in known:
-            raise FieldError(f"{self.key_path(key)}: {word!r} is none of {', '.join(known)}")
-        return known[word]
+        word = self.text(key, default)
+        if word not in choices:
+            raise FieldError(f"{self.key_path(key)}: {word!r} is none of {', '.join(choices)}")
+        return choices[word]
 
     def texts(self, key: str) -> tuple[str, ...]:
         """Return a list of texts."""
@@ -106,5 +106,5 @@
         return tuple(values)
 
 
-def _told(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     return repr(value)[:40]
--- a/cometseam/program.py
+++ b/cometseam/program.py
@@ -27,12 +27,12 @@
 # By the protocol, after SIGTERM: new connections come for 400 ms and pulls on open ones for 200 ms more, by
 # clients' clocks; it is killed no sooner than 700 ms after the longest cut-off, of which 3 s count at most.
 # So the last pull has its whole time before what is owed is given up, and 100 ms are left to write that.
-LAST_PULL, KILLED_PAST, MOST_CUT_OFF = 600.0, 700.0, 3000.0
+LAST_PULL_AFTER_MS, KILL_GRACE_MS, MAX_COUNTED_DEADLINE_MS = 600.0, 700.0, 3000.0
 Actor = Callable[[], Coroutine[Any, Any, None]]
-POOL_PART = 2  # of the memory that the interpreter leaves, what goes to buffers
-UNSEEN = 20000  # objects made and not freed between two looks for cycles
-TURN = 10.0  # ms between two looks at what is still owed
-MOST_FAULTS = 50  # of a file that are logged
+BUFFER_POOL_DIVISOR = 2  # of the memory that the interpreter leaves, what goes to buffers
+GC_THRESHOLD_OBJECTS = 20000  # objects made and not freed between two looks for cycles
+DRAIN_CHECK_INTERVAL_MS = 10.0  # ms between two looks at what is still owed
+MAX_LOGGED_FAULTS = 50  # of a file that are logged
 
 
 async def run(config: Config, compiled: CompiledConfig | None = None) -> None:
@@ -40,33 +40,33 @@
     signals.install_handlers()  # from before anything listens: none may end what has taken a connection
     clock = Clock()
     timers = Timers(clock)
-    taken = private_memory_bytes()
-    pool = BufferPool((config.memory_limit - taken) // POOL_PART)
-    around = ProcessResources(config.links, pool, clock, timers, config.max_peers)
+    interpreter_bytes = private_memory_bytes()
+    pool = BufferPool((config.memory_limit - interpreter_bytes) // BUFFER_POOL_DIVISOR)
+    resources = ProcessResources(config.links, pool, clock, timers, config.max_peers)
     front = Front(config.seed, config.settings)
     tracer = Tracer(TraceMode(config.trace_mode), max_open=config.max_clients * MAX_OPEN_PULLS)
-    router = Router(front, config.names, config.max_clients * MAX_OPEN_PULLS, around, config.seed, tracer)
+    router = Router(front, config.names, config.max_clients * MAX_OPEN_PULLS, resources, config.seed, tracer)
     listener = Listener(config.listen, config.max_clients, pool, clock, router, config.links.connect_timeout)
     # Where buffers run short, a client that takes nothing for as long as a peer may take to connect goes.
     pool.on_shortage = lambda: listener.close_stalled(config.links.connect_timeout)
-    terms = PollPolicy.for_drain_grace(config.links.drain_grace)
-    confirmation = ConfirmationPolicy.for_drain_grace(config.links.drain_grace)
+    poll_policy = PollPolicy.for_drain_grace(config.links.drain_grace)
+    confirmation_policy = ConfirmationPolicy.for_drain_grace(config.links.drain_grace)
     discovery = DiscoveryClient(
         config.discovery_address,
         config.last_seq,
         config.names,
         router.apply_changes,
-        terms,
-        confirmation=confirmation,
+        poll_policy,
+        confirmation_policy=confirmation_policy,
     )
     router.read_discovery, router.on_attempt_written = discovery.read_now, discovery.record_attempt
-    around.confirmation_wait, around.on_resume = discovery.confirmation_wait, discovery.record_pause
-    discovery.detect_process_pause = around.detect_process_pause
+    resources.confirmation_wait, resources.on_resume = discovery.confirmation_wait, discovery.record_pause
+    discovery.detect_process_pause = resources.detect_process_pause
     # What is there now stays, and pulls leave next to nothing in cycles: looking for those often is waste.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(UNSEEN)
-    fleet = _fleet(config, compiled, router, discovery)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
+    fleet = _fleet_member_task(config, compiled, router, discovery)
     async with anyio.create_task_group() as tasks:
         if compiled is not None:
             router.update_plans(compiled)
@@ -75,37 +75,37 @@
             tasks.start_soon(actor)
         tasks.start_soon(listener.run, tasks)
         tasks.start_soon(listener.close_overdue, config.links.max_deadline)
-        around.record_loop_lag(0.0)  # a stand-still before the first measurement shows as well
+        resources.record_loop_lag(0.0)  # a stand-still before the first measurement shows as well
         tasks.start_soon(_sample, clock, router)
         if fleet is not None:
             tasks.start_soon(fleet)
         log_event("front.listens", name=config.name, host=config.listen[0], port=config.listen[1])
-        reader = OperatorFileReloader(router, compiled.fleet if compiled is not None else None)
+        reloader = OperatorFileReloader(router, compiled.fleet if compiled is not None else None)
         async for number in signals.received_signals():
             if number == signal.SIGTERM:
                 break
             if number == signal.SIGUSR1:
-                _print("asked", router)
+                _log_counters("asked", router)
                 continue
-            if (new := _reread(config)) is not None:
-                pool.resize((new.memory_limit - taken) // POOL_PART)
-                listener.max_clients, around.max_connections = new.max_clients, new.max_peers
-                discovery.set_address(new.discovery_address)
+            if (new_config := _reload_config(config)) is not None:
+                pool.resize((new_config.memory_limit - interpreter_bytes) // BUFFER_POOL_DIVISOR)
+                listener.max_clients, resources.max_connections = new_config.max_clients, new_config.max_peers
+                discovery.set_address(new_config.discovery_address)
             # Its evaluation takes a while: what was asked for before is no longer wanted. It is checked
             # against the settings that run: others need a restart.
-            turn = reader.start_reload()
+            reload_number = reloader.start_reload()
             if config.operator_file is not None:
-                tasks.start_soon(reader.reload, turn, config.operator_file, config.raw_settings)
+                tasks.start_soon(reloader.reload, reload_number, config.operator_file, config.raw_settings)
         log_event("front.drains", name=config.name)
         router.draining = True
         listener.drain()
         await _drain(config, clock, router, listener)
         tasks.cancel_scope.cancel()
     await router.close()
-    _print("at exit", router)
+    _log_counters("at exit", router)
 
 
-def _fleet(
+def _fleet_member_task(
     config: Config, compiled: CompiledConfig | None, router: Router, discovery: DiscoveryClient
 ) -> Actor | None:
     """Return the front's part in the fleet; None, with nothing imported, where the file names no service."""
@@ -114,38 +114,40 @@
     from cometseam.coordination.fleet_member import FleetMember, boot_time
     from cometseam.operator.fleet import parse_fleet_config
 
-    def judged(heard: Any) -> None:
+    def apply_verdict(heard: Any) -> None:
         router.apply_verdict(heard.cache, heard.bad, heard.ttl, heard.age)
 
-    terms = parse_fleet_config(compiled.fleet)
-    shares = None
-    if terms.grant_timing is not None:
+    fleet_config = parse_fleet_config(compiled.fleet)
+    limit_sharing = None
+    if fleet_config.grant_timing is not None:
         from cometseam.routing.capacity_demand import fleet_budget_windows, own_groups, sharing_groups
 
         zones, settings = config.names.zones, config.settings
-        found = sharing_groups(
+        groups = sharing_groups(
             settings,
             zones,
-            *terms.grant_timing,
-            terms.drift,
-            terms.in_flight_limits is not None,
+            *fleet_config.grant_timing,
+            fleet_config.drift,
+            fleet_config.in_flight_limits is not None,
             fleet_budget_windows(compiled.plans),
         )
-        shares = (
-            found,
-            own_groups(settings, zones, found),
+        limit_sharing = (
+            groups,
+            own_groups(settings, zones, groups),
             router.capacity_demands,
             router.apply_capacity_lease,
         )
-        if terms.in_flight_limits is not None:
-            router.set_concurrency_cap(*terms.in_flight_limits)
-    return FleetMember(terms, config.name, boot_time, router.addresses, judged, discovery, shares).run
+        if fleet_config.in_flight_limits is not None:
+            router.set_concurrency_cap(*fleet_config.in_flight_limits)
+    return FleetMember(
+        fleet_config, config.name, boot_time, router.addresses, apply_verdict, discovery, limit_sharing
+    ).run
 
 
-def _print(why: str, router: Router) -> None:
+def _log_counters(reason: str, router: Router) -> None:
     for peer, ends in router.peer_end_counts():
-        log_event("peer.counters", why=why, peer=peer, ends=ends)
-    log_event("front.counters", why=why, counts=COUNTERS.all())
+        log_event("peer.counters", why=reason, peer=peer, ends=ends)
+    log_event("front.counters", why=reason, counts=COUNTERS.all())
 
 
 class OperatorFileReloader:
@@ -154,15 +156,15 @@
     def __init__(self, router: Router, fleet: dict[str, Any] | None = None) -> None:
         self._router, self._fleet = router, fleet
         self._scope = anyio.CancelScope()
-        self._turn = 0
+        self._reload_number = 0
 
     def start_reload(self) -> int:
         """Give up the reading that is under way: a newer one is wanted. Return the number of that one."""
         self._scope.cancel()
-        self._turn += 1
-        return self._turn
+        self._reload_number += 1
+        return self._reload_number
 
-    async def reload(self, turn: int, path: Path, told: dict[str, Any]) -> None:
+    async def reload(self, number: int, path: Path, raw_settings: dict[str, Any]) -> None:
         """Read and check the file, and hand it over; a faulty one is logged, and the one that runs stays.
 
         Cancelled, its child is ended and nothing is changed; nor is it where a newer reading was asked for
@@ -170,14 +172,14 @@
         """
         from cometseam.operator.load import load_for_front_async
 
-        if turn != self._turn:
+        if number != self._reload_number:
             return
         with anyio.CancelScope() as self._scope:
             try:
-                compiled = await load_for_front_async(path, told)
+                compiled = await load_for_front_async(path, raw_settings)
             except OperatorFileError as refused:
                 COUNTERS.add("operator.refused")
-                for fault in refused.faults[:MOST_FAULTS]:
+                for fault in refused.faults[:MAX_LOGGED_FAULTS]:
                     place, key = (f"{part}: " if part else "" for part in (fault.location, fault.path))
                     log_event("operator.refused", place=place, path=key, reason=fault.reason)
             except Exception as error:  # whatever it is, the plans that run stay
@@ -193,19 +195,19 @@
                 log_event("operator.taken", routes=routes, plans=plans, digest=compiled.digest)
 
 
-def _reread(config: Config) -> Config | None:
+def _reload_config(config: Config) -> Config | None:
     """Read the configuration anew; a faulty one is logged, and the one that runs stays."""
     try:
-        new = read_config()
+        new_config = read_config()
     except FieldError as error:
         COUNTERS.add("reload.faulty")
         log_event("config.faulty", why=str(error))
         return None
     COUNTERS.add("reload.taken")
-    for key in config.needs_restart(new):
+    for key in config.needs_restart(new_config):
         log_event("config.needs_restart", key=key)
     log_event("config.read")
-    return new
+    return new_config
 
 
 async def _drain(config: Config, clock: Clock, router: Router, listener: Listener) -> None:
@@ -215,36 +217,36 @@
     from the module, and what comes later is shed; then connections end, write side first. It ends sooner
     where clients have gone; nothing is lost where it is killed inside the last step.
     """
-    began, longest = clock.now(), config.links.max_deadline
-    last = began + min(longest, MOST_CUT_OFF) + LAST_PULL
+    started_at, max_deadline = clock.now(), config.links.max_deadline
+    answer_deadline = started_at + min(max_deadline, MAX_COUNTED_DEADLINE_MS) + LAST_PULL_AFTER_MS
     closing = False
     while True:
         now = clock.now()
-        if now >= last and not closing:
+        if now >= answer_deadline and not closing:
             closing = True
             router.begin_shutdown()
         # What waits to be accepted, or to be read, has come: its client counts on an answer.
-        came = listener.accept()
-        owed = router.has_unanswered or not all(client.is_drained for client in listener.clients)
+        accepted = listener.accept()
+        has_pending = router.has_unanswered or not all(client.is_drained for client in listener.clients)
         # None: there was no place for what waits to be accepted; it has come all the same.
-        if came is False and not owed and now >= began + KILLED_PAST:
+        if accepted is False and not has_pending and now >= started_at + KILL_GRACE_MS:
             break
-        if now >= last + longest + KILLED_PAST:
+        if now >= answer_deadline + max_deadline + KILL_GRACE_MS:
             break  # a client that sends or takes nothing more: nobody waits for it
-        await anyio.sleep(TURN / 1000.0)
+        await anyio.sleep(DRAIN_CHECK_INTERVAL_MS / 1000.0)
     listener.begin_shutdown()
     with anyio.move_on_after(2.0 * LINGER_S):
         while not listener.is_empty:
-            await anyio.sleep(TURN / 1000.0)
+            await anyio.sleep(DRAIN_CHECK_INTERVAL_MS / 1000.0)
 
 
 async def _sample(clock: Clock, router: Router) -> None:
     """Measure how late the loop comes to what is due, and have the module told."""
     while True:
         for _ in range(20):
-            due = clock.now() + LAG_SAMPLE_INTERVAL_MS
+            expected_at = clock.now() + LAG_SAMPLE_INTERVAL_MS
             await anyio.sleep(LAG_SAMPLE_INTERVAL_MS / 1000.0)
-            lag = clock.now() - due
+            lag = clock.now() - expected_at
             router.record_loop_lag(lag)
             COUNTERS.record_max("loop_lag_ms", lag)
             COUNTERS.add("loop_lag.looks")
--- a/cometseam/protocol/discovery_events.py
+++ b/cometseam/protocol/discovery_events.py
@@ -79,17 +79,21 @@
 def read_events(answer: Section, names: NameTables) -> list[DiscoveryEvent]:
     """Read events, in order. One that can't be read says so in its place: none is half applied."""
     answer.integer("seq", minimum=0)
-    changes: list[DiscoveryEvent] = []
+    events: list[DiscoveryEvent] = []
     for item in answer.sections("results"):
         seq = item.integer("seq", minimum=0)
         try:
-            changes.append(_purge(seq, item) if "invalidate" in item.values else _whole(seq, item, names))
+            events.append(
+                _parse_purge(seq, item)
+                if "invalidate" in item.values
+                else _parse_endpoint_list(seq, item, names)
+            )
         except FieldError as error:
-            changes.append(UnusableEvent(seq, str(error), _usable(seq, item, names)))
-    return sorted(changes, key=lambda change: change.seq)
+            events.append(UnusableEvent(seq, str(error), _parse_usable_entries(seq, item, names)))
+    return sorted(events, key=lambda change: change.seq)
 
 
-def _purge(seq: int, item: Section) -> Purge:
+def _parse_purge(seq: int, item: Section) -> Purge:
     purge = item.section("invalidate")
     time = purge.number("time", minimum=0)
     if "object" in purge.values:
@@ -97,46 +101,46 @@
     return Purge(seq, 0, purge.integer("bucket", minimum=0), time)
 
 
-def _whole(seq: int, item: Section, names: NameTables) -> EndpointList:
+def _parse_endpoint_list(seq: int, item: Section, names: NameTables) -> EndpointList:
     """Read a list of caches of which each line can be read."""
-    listing = item.section("fleet")
-    lines = tuple(_line(line, names) for line in listing.sections("endpoints"))
-    return EndpointList(seq, listing.flag("snapshot"), lines)
+    fleet = item.section("fleet")
+    entries = tuple(_parse_entry(line, names) for line in fleet.sections("endpoints"))
+    return EndpointList(seq, fleet.flag("snapshot"), entries)
 
 
-def _usable(seq: int, item: Section, names: NameTables) -> EndpointList | None:
+def _parse_usable_entries(seq: int, item: Section, names: NameTables) -> EndpointList | None:
     """Read what can be read of a list of caches.
 
     Of a line that can't, the name and a state that takes no more requests are enough: it counts as gone.
     """
-    lines = []
+    entries = []
     try:
-        listing = item.section("fleet")
-        for line in listing.sections("endpoints"):
+        fleet = item.section("fleet")
+        for entry in fleet.sections("endpoints"):
             with suppress(FieldError):
                 try:
-                    lines.append(_line(line, names))
+                    entries.append(_parse_entry(entry, names))
                 except FieldError:
-                    name = line.text("name")
-                    if line.one_of("status", LIFECYCLES) is not Lifecycle.READY:
-                        lines.append(EndpointEntry(name, ("", 0), 0, 0, 0, Lifecycle.GONE, 1.0, 0.0))
-        return EndpointList(seq, listing.flag("snapshot"), tuple(lines)) if lines else None
+                    name = entry.text("name")
+                    if entry.one_of("status", LIFECYCLES) is not Lifecycle.READY:
+                        entries.append(EndpointEntry(name, ("", 0), 0, 0, 0, Lifecycle.GONE, 1.0, 0.0))
+        return EndpointList(seq, fleet.flag("snapshot"), tuple(entries)) if entries else None
     except FieldError:
         return None
 
 
-def _line(line: Section, names: NameTables) -> EndpointEntry:
+def _parse_entry(entry: Section, names: NameTables) -> EndpointEntry:
     zones = {name: place for place, name in enumerate(names.zones)}
     kinds = {name: place for place, name in enumerate(names.kinds)}
     return EndpointEntry(
-        name=line.text("name"),
-        address=read_address(line, "address"),
-        zone=line.one_of("zone", zones),
-        kind=line.one_of("type", kinds),
-        cell=line.integer("group", 0),
-        lifecycle=line.one_of("status", LIFECYCLES),
-        weight=line.number("weight", 1.0, minimum=0),
-        ready_at=line.number("since_ms", 0.0, minimum=0),
+        name=entry.text("name"),
+        address=read_address(entry, "address"),
+        zone=entry.one_of("zone", zones),
+        kind=entry.one_of("type", kinds),
+        cell=entry.integer("group", 0),
+        lifecycle=entry.one_of("status", LIFECYCLES),
+        weight=entry.number("weight", 1.0, minimum=0),
+        ready_at=entry.number("since_ms", 0.0, minimum=0),
     )
 
 
@@ -154,7 +158,7 @@
 def read_address(section: Section, key: str) -> tuple[str, int]:
     """Read `host:port`."""
     text = section.text(key)
-    host, mark, port = text.rpartition(":")
-    if not mark or not host or not port.isdigit() or not 0 < int(port) < 65536:
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise FieldError(f"{section.key_path(key)}: host:port was expected, not {text[:40]!r}")
     return host, int(port)
--- a/cometseam/protocol/frames.py
+++ b/cometseam/protocol/frames.py
@@ -7,7 +7,7 @@
 
 from cometseam.protocol import Body, BodyAllocator, ProtocolError
 
-HEAD = struct.Struct(">IBI")
+FRAME_HEAD = struct.Struct(">IBI")
 COUNTED_HEAD_BYTES = 5  # bytes of the head that a frame's length counts
 MAX_FRAME_LENGTH = 262144
 
@@ -55,40 +55,40 @@
 class Decoder:
     """Takes a stream apart into frames."""
 
-    def __init__(self, room: BodyAllocator) -> None:
-        self._room = room
+    def __init__(self, allocate_body: BodyAllocator) -> None:
+        self._allocate_body = allocate_body
         self._head = bytearray()
         self._body: Body | None = None
 
-    def feed(self, data: memoryview, out: list[Frame]) -> int:
+    def feed(self, data: memoryview, frames: list[Frame]) -> int:
         """Append the frames that end in `data`; tell how much of it was taken in: less where room lacks."""
-        at = 0
-        while at < len(data):
-            missing = HEAD.size - len(self._head)
+        offset = 0
+        while offset < len(data):
+            missing = FRAME_HEAD.size - len(self._head)
             if missing:
-                self._head += data[at : at + missing]
-                at += min(missing, len(data) - at)
-                if len(self._head) < HEAD.size:
+                self._head += data[offset : offset + missing]
+                offset += min(missing, len(data) - offset)
+                if len(self._head) < FRAME_HEAD.size:
                     break
-            length, kind, stream = HEAD.unpack(self._head)
+            length, kind, stream = FRAME_HEAD.unpack(self._head)
             if not COUNTED_HEAD_BYTES <= length <= MAX_FRAME_LENGTH:
                 raise ProtocolError(f"a frame of {length} bytes")
             size = length - COUNTED_HEAD_BYTES
             if self._body is None:
-                if size <= len(data) - at:
-                    out.append(Frame(kind, stream, bytes(data[at : at + size])))
-                    at += size
+                if size <= len(data) - offset:
+                    frames.append(Frame(kind, stream, bytes(data[offset : offset + size])))
+                    offset += size
                     self._head.clear()
                     continue
-                self._body = self._room(size)
+                self._body = self._allocate_body(size)
                 if self._body is None:
                     break
-            at += self._body.write(data[at:])
+            offset += self._body.write(data[offset:])
             if self._body.is_complete():
-                out.append(Frame(kind, stream, b"", self._body))
+                frames.append(Frame(kind, stream, b"", self._body))
                 self._head.clear()
                 self._body = None
-        return at
+        return offset
 
     @property
     def has_partial_frame(self) -> bool:
@@ -106,20 +106,20 @@
     """Read fields, and tell where they end."""
     fields: dict[str, str] = {}
     try:
-        at = 1
+        offset = 1
         for _ in range(payload[0]):
-            end = at + 1 + payload[at]
-            name = payload[at + 1 : end].decode()
+            end = offset + 1 + payload[offset]
+            name = payload[offset + 1 : end].decode()
             size = payload[end] << 8 | payload[end + 1]
-            at = end + 2 + size
-            if at > len(payload):
+            offset = end + 2 + size
+            if offset > len(payload):
                 raise ProtocolError("fields: the payload ends inside them")
             if name in fields:
                 raise ProtocolError("fields: one comes twice")
-            fields[name] = payload[end + 2 : at].decode()
+            fields[name] = payload[end + 2 : offset].decode()
     except (IndexError, UnicodeDecodeError) as error:
         raise ProtocolError(f"fields: {error}") from error
-    return fields, at
+    return fields, offset
 
 
 def write_fields(fields: dict[str, str]) -> bytes:
@@ -131,14 +131,14 @@
     return b"".join(parts)
 
 
-def write_frame(kind: FrameType, stream: int, payload: bytes = b"", more: int = 0) -> bytes:
+def write_frame(kind: FrameType, stream: int, payload: bytes = b"", remaining: int = 0) -> bytes:
     """Write a frame, or the beginning of one whose payload goes on for `more` bytes."""
-    return HEAD.pack(COUNTED_HEAD_BYTES + len(payload) + more, kind, stream) + payload
+    return FRAME_HEAD.pack(COUNTED_HEAD_BYTES + len(payload) + remaining, kind, stream) + payload
 
 
-def write_answer(stream: int, code: AnswerCode, fields: dict[str, str], more: int = 0) -> bytes:
+def write_answer(stream: int, code: AnswerCode, fields: dict[str, str], remaining: int = 0) -> bytes:
     """Write an answer up to its body."""
-    return write_frame(FrameType.ANSWER, stream, bytes((code,)) + write_fields(fields), more)
+    return write_frame(FrameType.ANSWER, stream, bytes((code,)) + write_fields(fields), remaining)
 
 
 @dataclass(slots=True)
@@ -166,71 +166,75 @@
 
 MAX_TIME_LEFT_MS = 3600000.0
 HEX_DIGITS = frozenset("0123456789abcdef")
-NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")  # no other alphabet's digits
-MARK = re.compile(r"[!-+\--<>-~]{0,128}")  # printable, but for what parts the fields of a command
-WHOLE = re.compile(r"[0-9]{1,12}")
+NUMBER_PATTERN = re.compile(
+    r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?"
+)  # no other alphabet's digits
+IDEMPOTENCY_KEY_PATTERN = re.compile(
+    r"[!-+\--<>-~]{0,128}"
+)  # printable, but for what parts the fields of a command
+INTEGER_PATTERN = re.compile(r"[0-9]{1,12}")
 
 
 def read_pull_request(frame: Frame) -> PullRequest:
     """Read an order; what is missing or unusable is malformed, and the text names the field."""
-    fields, body_at = frame.parse_fields()
+    fields, body_offset = frame.parse_fields()
 
-    def number(name: str, low: float, high: float, form: re.Pattern[str] = NUMBER) -> float:
+    def number(name: str, minimum: float, maximum: float, pattern: re.Pattern[str] = NUMBER_PATTERN) -> float:
         text = fields.get(name, "")
-        if not form.fullmatch(text):
+        if not pattern.fullmatch(text):
             raise ProtocolError(f"{name}: missing or not a number of its kind")
         value = float(text)
-        if not low <= value <= high:
+        if not minimum <= value <= maximum:
             raise ProtocolError(f"{name}: out of range")
         return value
 
-    def whole(name: str, high: int) -> int:
-        return int(number(name, 0, high, WHOLE))
+    def integer(name: str, maximum: int) -> int:
+        return int(number(name, 0, maximum, INTEGER_PATTERN))
 
-    def tag(name: str) -> str:
+    def hex_id(name: str) -> str:
         value = fields.get(name, "")
         if len(value) != 16 or not HEX_DIGITS.issuperset(value):
             raise ProtocolError(f"{name}: missing or not 16 hex digits")
         return value
 
-    def mark() -> str:
+    def read_idempotency_key() -> str:
         value = fields.get("unique", "")
-        if not MARK.fullmatch(value):  # it is written among other fields
+        if not IDEMPOTENCY_KEY_PATTERN.fullmatch(value):  # it is written among other fields
             raise ProtocolError("unique: not a mark that can be passed on")
         return value
 
     return PullRequest(
-        id=tag("txn"),
+        id=hex_id("txn"),
         workload=fields.get("verb", ""),
         time_left=number("limit", 1, MAX_TIME_LEFT_MS),
-        object=tag("item"),
-        part=whole("nth", 65535),
-        group=whole("batch", 255),
+        object=hex_id("item"),
+        part=integer("nth", 65535),
+        group=integer("batch", 255),
         size_kb=number("ram", 0, 1e9),
-        held_tag=tag("got") if "got" in fields else "",
+        held_tag=hex_id("got") if "got" in fields else "",
         frame=frame,
-        body_offset=body_at,
-        idempotency_key=mark(),
+        body_offset=body_offset,
+        idempotency_key=read_idempotency_key(),
     )
 
 
-def write_served(stream: int, copy_holds: bool, more: int) -> bytes:
+def write_served(stream: int, is_not_modified: bool, remaining: int) -> bytes:
     """Write the answer that a pull was served, up to its body."""
-    return write_answer(stream, AnswerCode.SERVED, {"ok304": "1"} if copy_holds else {}, more)
+    return write_answer(stream, AnswerCode.SERVED, {"ok304": "1"} if is_not_modified else {}, remaining)
 
 
-def write_shed(stream: int, come_back_in: float) -> bytes:
+def write_shed(stream: int, retry_after: float) -> bytes:
     """Write the answer that a pull was shed."""
     return write_answer(
-        stream, AnswerCode.SHED, {"later": str(round(come_back_in))} if come_back_in > 0 else {}
+        stream, AnswerCode.SHED, {"later": str(round(retry_after))} if retry_after > 0 else {}
     )
 
 
-def write_errored(stream: int, why: str = "") -> bytes:
+def write_errored(stream: int, reason: str = "") -> bytes:
     """Write the answer that a pull has errored; on stream 0 it belongs to no pull."""
-    return write_answer(stream, AnswerCode.ERRORED, {"reason": why[:200]} if why else {})
+    return write_answer(stream, AnswerCode.ERRORED, {"reason": reason[:200]} if reason else {})
 
 
-def write_readiness(stream: int, ready: bool) -> bytes:
+def write_readiness(stream: int, is_ready: bool) -> bytes:
     """Write whether the front can serve."""
-    return write_frame(FrameType.READINESS, stream, bytes((1 if ready else 2,)) + write_fields({}))
+    return write_frame(FrameType.READINESS, stream, bytes((1 if is_ready else 2,)) + write_fields({}))
--- a/cometseam/protocol/resp.py
+++ b/cometseam/protocol/resp.py
@@ -8,13 +8,13 @@
 
 MAX_BODY_BYTES = 262144
 MAX_HEAD_BYTES = 8192  # bytes of an answer up to its body
-MOST_NUMBER = 12  # bytes of a line that counts something
+MAX_NUMBER_BYTES = 12  # bytes of a line that counts something
 HELLO_REPLY = "FIT"
 OUTCOMES_BY_WORD = {
     "DONE": Outcome.OK, "KEEP": Outcome.OK, "LACK": Outcome.MISS, "WAIT": Outcome.FULL,
     "BROKE": Outcome.ERROR, "PAST": Outcome.NOT_SENT, HELLO_REPLY: Outcome.OK,
 }  # fmt: skip
-REMARKS = {
+REMARKS_BY_WORD = {
     "cached": Remark.HIT, "fetched": Remark.FILLED, "fetched_root": Remark.FILLED_FROM_ORIGIN,
     "merged": Remark.JOINED, "past_fresh": Remark.STALE, "up_refused": Remark.SOURCE_REFUSED,
     "up_lost": Remark.SOURCE_BROKE, "up_empty": Remark.SOURCE_LACKS, "fills_full": Remark.NO_PLACE,
@@ -68,9 +68,9 @@
 
     def write(self, data: memoryview) -> int:
         """Pass over what is still missing."""
-        taken = min(self._missing, len(data))
-        self._missing -= taken
-        return taken
+        discarded = min(self._missing, len(data))
+        self._missing -= discarded
+        return discarded
 
     def is_complete(self) -> bool:
         """Tell whether nothing is missing any more."""
@@ -87,105 +87,109 @@
 class Decoder:
     """Takes a stream apart into answers."""
 
-    def __init__(self, room: BodyAllocator) -> None:
-        self._room = room
+    def __init__(self, allocate_body: BodyAllocator) -> None:
+        self._allocate_body = allocate_body
         self._head = bytearray()
-        self._begun: Answer | None = None
-        self._size = 0
-        self._ending = 0  # bytes of the line end after a body that are still to come
+        self._partial_answer: Answer | None = None
+        self._missing_body_bytes = 0
+        self._missing_line_end_bytes = 0  # bytes of the line end after a body that are still to come
 
-    def feed(self, data: memoryview, out: list[Answer]) -> int:
+    def feed(self, data: memoryview, answers: list[Answer]) -> int:
         """Append the answers that end in `data`; tell how much of it was taken in: less where room lacks."""
-        at = 0
-        while at < len(data):
-            if self._begun is None:
-                had = len(self._head)
-                self._head += data[at : at + MAX_HEAD_BYTES - had]
-                read = _read_head(self._head)
-                if read is None:
+        offset = 0
+        while offset < len(data):
+            if self._partial_answer is None:
+                buffered = len(self._head)
+                self._head += data[offset : offset + MAX_HEAD_BYTES - buffered]
+                head = _read_head(self._head)
+                if head is None:
                     if len(self._head) >= MAX_HEAD_BYTES:
                         raise ProtocolError("an answer's fields do not end")
                     return len(data)
-                self._begun, self._size, end = read
-                at += end - had
+                self._partial_answer, self._missing_body_bytes, end = head
+                offset += end - buffered
                 self._head.clear()
-                self._ending = 2 if self._size >= 0 else 0
-            elif self._size > 0:
-                body = self._begun.body
+                self._missing_line_end_bytes = 2 if self._missing_body_bytes >= 0 else 0
+            elif self._missing_body_bytes > 0:
+                body = self._partial_answer.body
                 if body is None:
-                    body = self._room(self._size)
+                    body = self._allocate_body(self._missing_body_bytes)
                     if body is None:
                         break
-                    self._begun = replace(self._begun, body=body)
-                taken = body.write(data[at:])
-                at += taken
-                self._size -= taken
-            elif self._ending:
-                if data[at] != b"\r\n"[2 - self._ending]:
+                    self._partial_answer = replace(self._partial_answer, body=body)
+                consumed = body.write(data[offset:])
+                offset += consumed
+                self._missing_body_bytes -= consumed
+            elif self._missing_line_end_bytes:
+                if data[offset] != b"\r\n"[2 - self._missing_line_end_bytes]:
                     raise ProtocolError("a body is longer than told")
-                self._ending -= 1
-                at += 1
-            if self._begun is not None and self._size <= 0 and not self._ending:
-                out.append(self._begun)
-                self._begun = None
-        return at
+                self._missing_line_end_bytes -= 1
+                offset += 1
+            if (
+                self._partial_answer is not None
+                and self._missing_body_bytes <= 0
+                and not self._missing_line_end_bytes
+            ):
+                answers.append(self._partial_answer)
+                self._partial_answer = None
+        return offset
 
     @property
     def has_partial_answer(self) -> bool:
         """Tell whether an answer is half read."""
-        return bool(self._head) or self._begun is not None
+        return bool(self._head) or self._partial_answer is not None
 
     @property
     def partial_answer_id(self) -> str | None:
         """Tell whose answer is half read: an id, empty where that has not come yet; None: there is none."""
-        if self._begun is not None:
-            return self._begun.id
+        if self._partial_answer is not None:
+            return self._partial_answer.id
         return "" if self._head else None
 
     def discard(self, id: str) -> None:
         """Keep no more of this answer, if it is half read: its rest is passed over."""
-        if self._begun is not None and self._begun.id == id:
-            if self._begun.body is not None:
-                self._begun.body.free()
-            self._begun = replace(self._begun, body=DiscardedBody(self._size))
+        if self._partial_answer is not None and self._partial_answer.id == id:
+            if self._partial_answer.body is not None:
+                self._partial_answer.body.free()
+            self._partial_answer = replace(self._partial_answer, body=DiscardedBody(self._missing_body_bytes))
 
     def close(self) -> None:
         """Give back what a half-read answer took."""
-        if self._begun is not None and self._begun.body is not None:
-            self._begun.body.free()
-            self._begun = None
+        if self._partial_answer is not None and self._partial_answer.body is not None:
+            self._partial_answer.body.free()
+            self._partial_answer = None
 
 
 def _read_head(raw: bytearray) -> tuple[Answer, int, int] | None:
     """Read an answer up to its body: the answer, the body's size (-1: it has none), and where that begins."""
-    count = _read_number(raw, 0, b"*")
+    count = _parse_length(raw, 0, b"*")
     if count is None:
         return None
     if not 2 <= count[0] <= 4:
         raise ProtocolError(f"an answer of {count[0]} parts")
     parts: list[bytes] = []
-    at = count[1]
-    for place in range(count[0]):
-        size = _read_number(raw, at, b"$")
+    offset = count[1]
+    for index in range(count[0]):
+        size = _parse_length(raw, offset, b"$")
         if size is None:
             return None
-        at = size[1]
-        if place == 3:
+        offset = size[1]
+        if index == 3:
             if size[0] > MAX_BODY_BYTES:
                 raise ProtocolError(f"a body of {size[0]} bytes")
-            return _answer(parts, True), size[0], at
+            return _parse_answer(parts, True), size[0], offset
         if size[0] > MAX_HEAD_BYTES:
             raise ProtocolError(f"a part of {size[0]} bytes")
-        if len(raw) < at + size[0] + 2:
+        if len(raw) < offset + size[0] + 2:
             return None
-        parts.append(bytes(raw[at : at + size[0]]))
-        at += size[0] + 2
-        if raw[at - 2 : at] != b"\r\n":
+        parts.append(bytes(raw[offset : offset + size[0]]))
+        offset += size[0] + 2
+        if raw[offset - 2 : offset] != b"\r\n":
             raise ProtocolError("a part is longer than told")
-    return _answer(parts, False), -1, at
+    return _parse_answer(parts, False), -1, offset
 
 
-def _answer(parts: list[bytes], has_body: bool) -> Answer:
+def _parse_answer(parts: list[bytes], has_body: bool) -> Answer:
     try:
         id, word, *rest = (part.decode() for part in parts)
         fields = read_fields(rest[0]) if rest else {}
@@ -198,13 +202,13 @@
     load = None
     if "rep" in fields:
         items = (item.partition(":") for item in fields["rep"].split(";"))
-        load = {name: _read_figure(value) for name, _, value in items}
-    waited = max(_read_figure(fields["lag"]), 0.0) if "lag" in fields else 0.0
-    remark = REMARKS.get(fields.get("why", ""), Remark.NONE)
+        load = {name: _parse_finite(value) for name, _, value in items}
+    waited = max(_parse_finite(fields["lag"]), 0.0) if "lag" in fields else 0.0
+    remark = REMARKS_BY_WORD.get(fields.get("why", ""), Remark.NONE)
     return Answer(id, word, OUTCOMES_BY_WORD[word], remark, waited, load, tag=fields.get("tag", ""))
 
 
-def _read_figure(text: str) -> float:
+def _parse_finite(text: str) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -214,15 +218,15 @@
     return value
 
 
-def _read_number(raw: bytearray, at: int, mark: bytes) -> tuple[int, int] | None:
-    if len(raw) > at and raw[at : at + 1] != mark:
-        raise ProtocolError(f"{mark!r} was expected, not {bytes(raw[at : at + 1])!r}")
-    end = raw.find(b"\r\n", at, at + MOST_NUMBER)
+def _parse_length(raw: bytearray, offset: int, prefix: bytes) -> tuple[int, int] | None:
+    if len(raw) > offset and raw[offset : offset + 1] != prefix:
+        raise ProtocolError(f"{prefix!r} was expected, not {bytes(raw[offset : offset + 1])!r}")
+    end = raw.find(b"\r\n", offset, offset + MAX_NUMBER_BYTES)
     if end < 0:
-        if len(raw) >= at + MOST_NUMBER:
+        if len(raw) >= offset + MAX_NUMBER_BYTES:
             raise ProtocolError("a number that does not end")
         return None
-    digits = bytes(raw[at + 1 : end])
+    digits = bytes(raw[offset + 1 : end])
     if not digits.isdigit():
         raise ProtocolError(f"a number was expected, not {digits!r}")
     return int(digits), end + 2
@@ -234,14 +238,14 @@
         return {}
     fields: dict[str, str] = {}
     for item in text.split(","):
-        name, mark, value = item.partition("=")
-        if not mark:
+        name, separator, value = item.partition("=")
+        if not separator:
             raise ProtocolError(f"a field without a value: {item[:40]!r}")
         fields[name] = value
     return fields
 
 
-def write_request(command: Command, time_out: float, body: int) -> bytes:
+def write_request(command: Command, time_out: float, body_bytes: int) -> bytes:
     """Write a relay up to its body of so many bytes; after the body a line end is due."""
     fields = [f"lane={command.workload}", f"name={command.object}", f"piece={command.part}"]
     fields.append(f"ttl={max(round(time_out), 1)}")
@@ -251,15 +255,15 @@
         fields.append(f"tier={command.rank}")
     if command.oldest > 0:
         fields.append(f"fresh={max(int(command.oldest), 1)}")  # rounded down: never older than asked
-    how = {"ride": command.join, "have-only": command.only_held, "through": command.parent_keeps_none,
+    options = {"ride": command.join, "have-only": command.only_held, "through": command.parent_keeps_none,
            "update": command.renew}  # fmt: skip
-    if any(how.values()):
-        fields.append("opts=" + "+".join(word for word, on in how.items() if on))
+    if any(options.values()):
+        fields.append("opts=" + "+".join(word for word, on in options.items() if on))
     if command.held_tag:
         fields.append(f"known={command.held_tag}")
     if command.mark:
         fields.append(f"dedupe={command.mark}")
-    return b"*4\r\n" + _bulk("REQ") + _bulk(command.id) + _bulk(",".join(fields)) + b"$%d\r\n" % body
+    return b"*4\r\n" + _bulk("REQ") + _bulk(command.id) + _bulk(",".join(fields)) + b"$%d\r\n" % body_bytes
 
 
 def write_stop(id: str) -> bytes:
--- a/cometseam/signals.py
+++ b/cometseam/signals.py
@@ -12,24 +12,24 @@
 import anyio
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)
-LOOK = 0.02  # s between two looks for a signal
+CHECK_INTERVAL_S = 0.02  # s between two looks for a signal
 
-_came: deque[int] = deque()
+_received: deque[int] = deque()
 
 
 def install_handlers() -> None:
     """Take note of signals from now on; called again it changes nothing."""
     for number in HANDLED_SIGNALS:
-        signal.signal(number, _note)
+        signal.signal(number, _record_signal)
 
 
 async def received_signals() -> AsyncIterator[int]:
     """Tell each signal that has come since `install_handlers`, in order, for ever."""
     while True:
-        while _came:
-            yield _came.popleft()
-        await anyio.sleep(LOOK)
+        while _received:
+            yield _received.popleft()
+        await anyio.sleep(CHECK_INTERVAL_S)
 
 
-def _note(number: int, frame: FrameType | None) -> None:
-    _came.append(number)
+def _record_signal(number: int, frame: FrameType | None) -> None:
+    _received.append(number)
--- a/cometseam/wire/frames.py
+++ b/cometseam/wire/frames.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import BinaryIO
 
-from cometseam import interface as i
+from cometseam import interface
 from cometseam.wire import WireFormatError
 
 
@@ -27,17 +27,17 @@
 
 
 OUTCOMES = {
-    0: i.Outcome.OK,
-    1: i.Outcome.MISS,
-    249: i.Outcome.NOT_SENT,
-    250: i.Outcome.CANCELLED,
-    251: i.Outcome.RESET,
-    252: i.Outcome.CONNECT_FAILED,
-    253: i.Outcome.TIMEOUT,
-    254: i.Outcome.FULL,
-    255: i.Outcome.ERROR,
+    0: interface.Outcome.OK,
+    1: interface.Outcome.MISS,
+    249: interface.Outcome.NOT_SENT,
+    250: interface.Outcome.CANCELLED,
+    251: interface.Outcome.RESET,
+    252: interface.Outcome.CONNECT_FAILED,
+    253: interface.Outcome.TIMEOUT,
+    254: interface.Outcome.FULL,
+    255: interface.Outcome.ERROR,
 }
-REMARKS = {int(remark): remark for remark in i.Remark}
+REMARKS = {int(remark): remark for remark in interface.Remark}
 
 BATCH = struct.Struct("<Id")
 REPLY = struct.Struct("<II")
@@ -71,20 +71,20 @@
     return now, body
 
 
-def read_records(body: bytes) -> Iterator[tuple[int, Create | Crash | i.Event]]:
+def read_records(body: bytes) -> Iterator[tuple[int, Create | Crash | interface.Event]]:
     """Yield each event of a batch with its instance. Records of unknown codes are skipped."""
-    at, instance = 0, -1
-    while at < len(body):
-        if at + RECORD.size > len(body):
+    offset, instance = 0, -1
+    while offset < len(body):
+        if offset + RECORD.size > len(body):
             raise WireFormatError("record: input ended inside its head")
-        code, length = RECORD.unpack_from(body, at)
-        at += RECORD.size
-        if at + length > len(body):
+        code, length = RECORD.unpack_from(body, offset)
+        offset += RECORD.size
+        if offset + length > len(body):
             raise WireFormatError(
-                f"record {code}: {length} bytes announced, {len(body) - at} left in the batch"
+                f"record {code}: {length} bytes announced, {len(body) - offset} left in the batch"
             )
-        fields = body[at : at + length]
-        at += length
+        fields = body[offset : offset + length]
+        offset += length
         try:
             if code == 27:
                 (instance,) = INSTANCE.unpack(fields)
@@ -101,146 +101,154 @@
             yield instance, event
 
 
-def _counted(fields: bytes, at: int, count: int, size: int) -> None:
-    if len(fields) != at + count * size:
-        raise WireFormatError(f"a length of {at + count * size} was expected, not {len(fields)}")
+def _check_length(fields: bytes, offset: int, count: int, size: int) -> None:
+    if len(fields) != offset + count * size:
+        raise WireFormatError(f"a length of {offset + count * size} was expected, not {len(fields)}")
 
 
-def _loads(fields: bytes, at: int, count: int) -> tuple[float, ...]:
-    _counted(fields, at, count, 4)
-    return struct.unpack_from(f"<{count}f", fields, at)
+def _unpack_loads(fields: bytes, offset: int, count: int) -> tuple[float, ...]:
+    _check_length(fields, offset, count, 4)
+    return struct.unpack_from(f"<{count}f", fields, offset)
 
 
-def _outcome(code: int) -> i.Outcome:
+def _decode_outcome(code: int) -> interface.Outcome:
     if code not in OUTCOMES:
         raise WireFormatError(f"unknown outcome {code}")
     return OUTCOMES[code]
 
 
-def _create(fields: bytes) -> Create:
+def _read_create(fields: bytes) -> Create:
     seed, size = CREATE.unpack_from(fields)
-    _counted(fields, CREATE.size, size, 1)
+    _check_length(fields, CREATE.size, size, 1)
     return Create(seed, fields[CREATE.size :])
 
 
-def _members(fields: bytes) -> i.CacheListUpdate:
+def _read_members(fields: bytes) -> interface.CacheListUpdate:
     kind, _, count = MEMBERS.unpack_from(fields)
-    _counted(fields, MEMBERS.size, count, ENTRY.size)
-    return i.CacheListUpdate(
-        i.ListUpdateKind(kind),
+    _check_length(fields, MEMBERS.size, count, ENTRY.size)
+    return interface.CacheListUpdate(
+        interface.ListUpdateKind(kind),
         tuple(
-            i.CacheEntry(cache, i.Lifecycle(state), ready_at, cell, zone, kind, weight)
+            interface.CacheEntry(cache, interface.Lifecycle(state), ready_at, cell, zone, kind, weight)
             for ready_at, cell, zone, cache, state, weight, kind in ENTRY.iter_unpack(fields[MEMBERS.size :])
         ),
     )
 
 
-def _pull(fields: bytes) -> i.Pull:
-    pull, _, part, wanted, workload, left, flags, size_kb, group = PULL.unpack(fields)
-    if not (math.isfinite(left) and math.isfinite(size_kb) and math.isfinite(part) and math.isfinite(group)):
+def _read_pull(fields: bytes) -> interface.Pull:
+    pull, _, part, object_id, workload, time_left, flags, size_kb, group = PULL.unpack(fields)
+    if not (
+        math.isfinite(time_left) and math.isfinite(size_kb) and math.isfinite(part) and math.isfinite(group)
+    ):
         raise WireFormatError("a field is not a number")
-    return i.Pull(pull, wanted, int(part), workload, left, bool(flags & 4), size_kb, int(group))
+    return interface.Pull(
+        pull, object_id, int(part), workload, time_left, bool(flags & 4), size_kb, int(group)
+    )
 
 
-def _began(fields: bytes) -> i.RelayBegan:
-    return i.RelayBegan(BEGAN.unpack(fields)[0])
+def _read_relay_began(fields: bytes) -> interface.RelayBegan:
+    return interface.RelayBegan(BEGAN.unpack(fields)[0])
 
 
-def _ended(fields: bytes) -> i.RelayEnded:
-    pull, took, waited, remark, cache, relay, outcome, closed, count = ENDED.unpack_from(fields)
-    load = _loads(fields, ENDED.size, count)
-    told = REMARKS.get(remark, i.Remark.NONE)
-    return i.RelayEnded(pull, relay, cache, _outcome(outcome), told, took, waited, bool(closed), load)
+def _read_relay_ended(fields: bytes) -> interface.RelayEnded:
+    pull, duration, waited, remark, cache, relay, outcome, closed, count = ENDED.unpack_from(fields)
+    load = _unpack_loads(fields, ENDED.size, count)
+    known_remark = REMARKS.get(remark, interface.Remark.NONE)
+    return interface.RelayEnded(
+        pull, relay, cache, _decode_outcome(outcome), known_remark, duration, waited, bool(closed), load
+    )
 
 
-def _probed(fields: bytes) -> i.ProbeEnded:
+def _read_probe_ended(fields: bytes) -> interface.ProbeEnded:
     _, outcome, cache, count = PROBED.unpack_from(fields)
-    return i.ProbeEnded(cache, _outcome(outcome), _loads(fields, PROBED.size, count))
+    return interface.ProbeEnded(cache, _decode_outcome(outcome), _unpack_loads(fields, PROBED.size, count))
 
 
-def _peer(fields: bytes) -> None:
+def _check_peer(fields: bytes) -> None:
     _, size = PEER.unpack_from(fields)
-    _counted(fields, PEER.size, size, 1)
+    _check_length(fields, PEER.size, size, 1)
 
 
-def _crash(fields: bytes) -> Crash:
-    _counted(fields, 0, 0, 1)
+def _read_crash(fields: bytes) -> Crash:
+    _check_length(fields, 0, 0, 1)
     return Crash()
 
 
-READERS: dict[int, Callable[[bytes], Create | Crash | i.Event | None]] = {
-    16: _create,
-    17: _members,
-    18: _pull,
-    19: _began,
-    20: _ended,
-    21: lambda fields: i.ClientDisconnected(*ID.unpack(fields)),
-    22: lambda fields: i.TimerFired(*ID.unpack(fields)),
-    23: _probed,
-    24: _peer,
-    25: _crash,
-    26: lambda fields: i.Purged(*PURGED.unpack(fields)),
+READERS: dict[int, Callable[[bytes], Create | Crash | interface.Event | None]] = {
+    16: _read_create,
+    17: _read_members,
+    18: _read_pull,
+    19: _read_relay_began,
+    20: _read_relay_ended,
+    21: lambda fields: interface.ClientDisconnected(*ID.unpack(fields)),
+    22: lambda fields: interface.TimerFired(*ID.unpack(fields)),
+    23: _read_probe_ended,
+    24: _check_peer,
+    25: _read_crash,
+    26: lambda fields: interface.Purged(*PURGED.unpack(fields)),
 }
 
 
-def _record(layout: str) -> Callable[..., bytes]:
+def _record_packer(layout: str) -> Callable[..., bytes]:
     """A writer of records of one layout, code first, with the length filled in."""
     packer = struct.Struct(layout.replace("<B", "<BI", 1))
     length = packer.size - RECORD.size
     return lambda code, *fields: packer.pack(code, length, *fields)
 
 
-_by = _record("<BH")
-_relay = _record("<BQIIBBdd")
-_shed = _record("<BQd")
-_error = _record("<BQ")
-_recall = _record("<BQH")
-_wake = _record("<BQd")
-_probe = _record("<BI")
-_watch = _record("<BB")
+_pack_instance = _record_packer("<BH")
+_pack_relay = _record_packer("<BQIIBBdd")
+_pack_shed = _record_packer("<BQd")
+_pack_error = _record_packer("<BQ")
+_pack_recall = _record_packer("<BQH")
+_pack_timer = _record_packer("<BQd")
+_pack_probe = _record_packer("<BI")
+_pack_watch = _record_packer("<BB")
 
 
-def _text(code: int, text: str) -> bytes:
+def _pack_text(code: int, text: str) -> bytes:
     raw = text.encode()[:400]
     return RECORD.pack(code, 2 + len(raw)) + INSTANCE.pack(len(raw)) + raw
 
 
 def write_failure(text: str) -> bytes:
     """The record that tells that the decision code has failed."""
-    return _text(17, text)
+    return _pack_text(17, text)
 
 
-def write_action(action: i.Action) -> bytes:
+def write_action(action: interface.Action) -> bytes:
     """Encode one action."""
     match action:
-        case i.Relay():
-            how = action.join_fill | action.only_cached << 1 | action.parent_no_store << 2 | action.renew << 3
-            return _relay(29, action.id, action.source, action.cache, action.rank, how, action.timeout,
+        case interface.Relay():
+            flags = (
+                action.join_fill | action.only_cached << 1 | action.parent_no_store << 2 | action.renew << 3
+            )
+            return _pack_relay(29, action.id, action.source, action.cache, action.rank, flags, action.timeout,
                           action.max_age)  # fmt: skip
-        case i.StartTimer():
-            return _wake(20, action.timer_id, action.delay)
-        case i.Shed():
-            return _shed(26, action.id, action.retry_after)
-        case i.Error():
-            return _error(24, action.id)
-        case i.Recall():
-            return _recall(19, action.id, action.relay)
-        case i.Probe():
-            return _probe(23, action.cache)
-        case i.Watch():
-            return _watch(18, 1)
-        case i.LogMessage():
-            return _text(21, action.text)
+        case interface.StartTimer():
+            return _pack_timer(20, action.timer_id, action.delay)
+        case interface.Shed():
+            return _pack_shed(26, action.id, action.retry_after)
+        case interface.Error():
+            return _pack_error(24, action.id)
+        case interface.Recall():
+            return _pack_recall(19, action.id, action.relay)
+        case interface.Probe():
+            return _pack_probe(23, action.cache)
+        case interface.Watch():
+            return _pack_watch(18, 1)
+        case interface.LogMessage():
+            return _pack_text(21, action.text)
 
 
 def write_reply(records: list[tuple[int, bytes]]) -> bytes:
     """Encode a reply from records, each with its instance."""
     parts: list[bytes] = []
-    last = -1
+    last_instance = -1
     for instance, record in records:
-        if instance != last:
-            parts.append(_by(25, instance))
-            last = instance
+        if instance != last_instance:
+            parts.append(_pack_instance(25, instance))
+            last_instance = instance
         parts.append(record)
     body = b"".join(parts)
     return REPLY.pack(len(body), len(parts)) + body
--- a/cometseam/wirehost.py
+++ b/cometseam/wirehost.py
@@ -28,7 +28,7 @@
         records: list[tuple[int, bytes]] = []
         for instance, event in read_records(body):
             if isinstance(event, Create):
-                fronts[instance] = Front(event.seed, _settings(event.settings))
+                fronts[instance] = Front(event.seed, _parse_settings(event.settings))
             elif isinstance(event, Crash):
                 fronts.pop(instance, None)
             elif instance in fronts:
@@ -44,7 +44,7 @@
         sink.flush()
 
 
-def _settings(raw: bytes) -> Settings:
+def _parse_settings(raw: bytes) -> Settings:
     try:
         return read_settings(Section(json.loads(raw)))
     except (FieldError, ValueError, RecursionError) as error:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -355,7 +355,7 @@
         await old.news.until(lambda: old.notified_at(event) is not None)
         # The stand-in has written it in this very turn: the client's task is still to be woken.
         had = list(told)
-        client._read_at = float("-inf")
+        client._last_read_at = float("-inf")
         client.read_now()
         assert [change.seq for change in told] == [event]
         assert not had
