--- a/cometseam/discovery/__init__.py
+++ b/cometseam/discovery/__init__.py
@@ -1,7 +1,7 @@
-"""Discovery: polls that tell of changes to the endpoints and of purges, each event once and in order.
+"""Client of the discovery service: long polls that report endpoint changes and purges.
 
-`schedule`, `sequence` and `confirmation` decide, without I/O; `connection` holds one socket; `client` puts
-them together.
+Each event is delivered once and in order. `schedule`, `sequence` and `confirmation` make the decisions and do
+no I/O; `connection` owns one socket; `client` combines them.
 """
 
 from cometseam.discovery.client import DiscoveryClient
--- a/cometseam/discovery/client.py
+++ b/cometseam/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: polls over as many connections as `schedule` says, and hands on what they tell."""
+"""The discovery client: polls over the connections that `schedule` asks for and delivers received events."""
 
 import errno
 import time
@@ -20,33 +20,35 @@
 from cometseam.settings import NameTables
 
 MAX_LOGGED_ENDPOINTS = 8  # endpoints of one event that are logged by name
-PASSIVE_CHECK_INTERVAL_MS = (
-    50.0  # ms between two looks at whether another front still reads discovery for this one
-)
-READ_NOW_INTERVAL_MS = 10.0  # ms between two reads that `read_now` makes
+# Interval for checking whether another front still polls discovery on behalf of this one.
+PASSIVE_CHECK_INTERVAL_MS = 50.0
+READ_NOW_INTERVAL_MS = 10.0  # minimum interval between two reads made by `read_now`
 CONNECTION_ERRORS = (OSError, ProtocolError, h11.RemoteProtocolError, h11.LocalProtocolError)
 
 
 @dataclass(slots=True, eq=False)
 class Poll:
-    """One connection and what is logged of its poll; times in ms of the monotonic clock."""
+    """One connection and the state of its poll for the log; times are milliseconds of the monotonic clock."""
 
     number: int
     connection: DiscoveryConnection
     scope: anyio.CancelScope
     phase_started_at: float
     phase: str = "connecting"
-    was_empty: bool = False  # the last answer told nothing
-    was_answered: bool = False  # at least once, over this connection
+    was_empty: bool = False  # the last answer contained no events
+    was_answered: bool = False  # this connection has delivered at least one answer
 
 
 def monotonic_ms() -> float:
-    """Return milliseconds of the monotonic clock."""
+    """Return the monotonic clock in milliseconds."""
     return time.monotonic() * 1000.0
 
 
 class DiscoveryClient:
-    """Follows discovery for one front; each event is handed on once, in order, in the turn that reads it."""
+    """Follows discovery for one front.
+
+    Each event is delivered once, in order, in the same event loop iteration that reads it.
+    """
 
     def __init__(
         self,
@@ -58,56 +60,54 @@
         clock: Callable[[], float] = monotonic_ms,
         confirmation_policy: ConfirmationPolicy | None = None,
     ) -> None:
-        """Begin after event `last`.
+        """Begin after event `last_seq`.
 
         Args:
             address: host and port of discovery.
-            last: number of the last event that the front knows.
-            names: names of zones and kinds, by which lines are read.
-            on_events: takes events; it must not wait.
-            terms: spans and bounds; the defaults where there are none.
-            clock: monotonic milliseconds.
-            confirmation: when what is known counts as confirmed; the defaults where there are none.
+            last_seq: sequence number of the last event that the front knows.
+            names: zone and kind names used to decode endpoint entries.
+            on_events: called with new events; must not block.
+            poll_policy: timeouts and limits of polling; None for the defaults.
+            clock: returns monotonic milliseconds.
+            confirmation_policy: when the known state counts as confirmed; None for the defaults.
         """
         self._address, self._names, self._on_events, self._clock = address, names, on_events, clock
         self._sequence = EventSequence(last_seq)
         self._schedule = PollSchedule(poll_policy or PollPolicy())
         self._confirmation = ConfirmationTracker(confirmation_policy or ConfirmationPolicy(), clock())
-        self._unconfirmed_attempts = 0  # attempts, since what is known was last confirmed
+        self._unconfirmed_attempts = 0  # attempts written while the known state was unconfirmed
         self._polls: dict[int, Poll] = {}
         self._connections_started = 0
-        self._state_changed = (
-            anyio.Event()
-        )  # something ended, was answered or moved: the schedule is looked at
+        self._state_changed = anyio.Event()  # set when the schedule must be evaluated again
         self._tasks: TaskGroup | None = None
         self._last_read_at = float("-inf")
-        # Calls `record_pause` where there was one.
+        # Calls `record_pause` if the process was paused.
         self.detect_process_pause: Callable[[], None] = lambda: None
-        # Where one front reads discovery for all (`coordination.fleet_member`): whether this one rests, and
-        # who is told of each poll that was answered, with its text.
+        # For a fleet in which one front polls discovery for all (`coordination.fleet_member`): whether this
+        # front leaves polling to another, and a callback that gets the text of each answer.
         self.is_passive: Callable[[], bool] = lambda: False
         self.on_answer: Callable[[bytes], None] = lambda text: None
 
     @property
     def last_seq(self) -> int:
-        """Return the number of the last event taken in."""
+        """Return the sequence number of the last accepted event."""
         return self._sequence.last_seq
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Poll at another address from now on. Polls outstanding at the old one are still read."""
+        """Poll another address from now on; answers to polls outstanding at the old one are still read."""
         if address == self._address:
             return
         self._address = address
         self._confirmation.address_changed(self._clock())
         for number in self._schedule.address_changed(self._clock()):
-            self._abandon(number, "discovery has another address")
+            self._abandon(number, "the discovery address changed")
         self._state_changed.set()
 
     def read_now(self) -> None:
-        """Take in all that has come and lies unread, without waiting.
+        """Process all input that has already arrived, without waiting.
 
-        Called before a request is sent on: after a stand-still of the process the loop may come to requests
-        before it comes to the answer of a poll that came before them.
+        Called before a request is forwarded: after a pause of the process the event loop may handle requests
+        before the answer to a poll that arrived earlier than they did.
         """
         now = self._clock()
         if now - self._last_read_at < READ_NOW_INTERVAL_MS:
@@ -117,33 +117,37 @@
             self._read(poll)
 
     def confirmation_wait(self) -> float:
-        """Return for how many ms requests wait at most until discovery confirms what is known."""
+        """Return for how many ms at most requests wait until discovery confirms the known state."""
         return 0.0 if self.is_passive() else self._confirmation.remaining_wait(self._clock())
 
     def record_attempt(self) -> float | None:
-        """Take in that an attempt is written; return for how many ms what is known was unconfirmed."""
+        """Record that an attempt was written.
+
+        Returns:
+            For how many ms the known state has been unconfirmed; None if it is confirmed.
+        """
         unconfirmed_for = None if self.is_passive() else self._confirmation.unconfirmed_for(self._clock())
         if unconfirmed_for is not None:
             self._unconfirmed_attempts += 1
         return unconfirmed_for
 
     def record_pause(self, duration: float) -> None:
-        """Take in that the process goes on after it has stood still for so many ms."""
+        """Record that the process continues after a pause of `duration` ms."""
         self._confirmation.process_paused(self._clock(), duration)
 
     def apply_shared_answer(self, text: bytes) -> bool:
-        """Take in events that another front has read; return whether they go on from where this one is."""
+        """Apply events that another front has read; return whether they continue this front's sequence."""
         try:
             error = self._accept_events(parse_answer(text, self._names), None)
         except ProtocolError:
             error = "unreadable"
         if error:
-            # Discovery itself was not asked yet: it may still tell what is missing.
+            # Discovery itself has not been polled yet and may still deliver what is missing.
             self._sequence.reset_retry()
         return not error
 
     async def run(self) -> None:
-        """Poll until cancelled; all connections end then."""
+        """Poll until cancelled, then close all connections."""
         try:
             async with anyio.create_task_group() as self._tasks:
                 while True:
@@ -155,7 +159,7 @@
                 poll.connection.close()
 
     def _run_schedule(self) -> float:
-        """Do what the schedule says; return after how many ms it is to be asked again."""
+        """Carry out the schedule's decision; return after how many ms the schedule must be checked again."""
         now = self._clock()
         decision = self._schedule.check(now)
         for number in decision.abandoned:
@@ -175,7 +179,7 @@
         self._schedule.connection_started(self._connections_started, now)
         try:
             connection = DiscoveryConnection(self._address)
-        except OSError as error:  # no descriptor: another try follows
+        except OSError as error:  # no file descriptor is free; the schedule tries again later
             self._schedule.connection_failed(self._connections_started, now)
             self._log_failure(error, "connecting", 0.0)
             return
@@ -185,7 +189,7 @@
         self._tasks.start_soon(self._run_connection, poll)
 
     async def _run_connection(self, poll: Poll) -> None:
-        """Poll over one connection until it ends."""
+        """Poll over one connection until it is closed."""
         try:
             with poll.scope:
                 await poll.connection.connect()
@@ -193,15 +197,15 @@
                     while poll.connection.pending:
                         await poll.connection.wait_for_input()
                         self._read(poll)
-                    if poll.was_empty:  # one that answers at once with nothing must not keep the front busy
+                    if poll.was_empty:  # avoids a busy loop if discovery answers immediately without events
                         await anyio.sleep(self._schedule.policy.initial_back_off / 1000.0)
-        except Exception as error:  # whatever it is, the list held stays and another poll begins
+        except Exception as error:  # on any error the known endpoints stay and another poll begins
             self._handle_failure(poll, error)
         finally:
             self._remove(poll)
 
     async def _send_poll(self, poll: Poll) -> bool:
-        """Write the next poll; False where the connection is not to be used again."""
+        """Write the next poll; return False if the connection must not be used again."""
         if poll.number not in self._polls:
             return False
         self.detect_process_pause()
@@ -214,7 +218,7 @@
         return True
 
     def _read(self, poll: Poll) -> None:
-        """Read what has come on a connection; an answer is taken in at once."""
+        """Read the available input of a connection; a complete answer is processed immediately."""
         self.detect_process_pause()
         try:
             text = poll.connection.read()
@@ -241,7 +245,7 @@
             poll.scope.cancel()
 
     def _accept_events(self, events: list[DiscoveryEvent], poll: Poll | None) -> str:
-        """Hand on what is new of an answer; return what is wrong with it (empty: nothing)."""
+        """Deliver the new events of an answer; return a description of the error, empty if there is none."""
         result = self._sequence.accept(events)
         if result.duplicates:
             COUNTERS.add("changelog.repeated", result.duplicates)
@@ -257,7 +261,7 @@
         return result.error
 
     def _abandon(self, number: int, reason: str) -> None:
-        """End a connection; what lies unread on it is taken in first."""
+        """Close a connection after processing its unread input."""
         poll = self._polls.get(number)
         if poll is None:
             self._schedule.connection_closed(number)
@@ -296,10 +300,12 @@
 
 
 def _log_applied(event: DiscoveryEvent, waited: float) -> None:
-    """Log a change of the list of endpoints: who is in which state from now on."""
+    """Log the endpoints and states of an endpoint list event; other events are not logged."""
     if not isinstance(event, EndpointList):
         return
-    states = [f"{line.name} {line.lifecycle.name.lower()}" for line in event.entries[:MAX_LOGGED_ENDPOINTS]]
+    states = [
+        f"{entry.name} {entry.lifecycle.name.lower()}" for entry in event.entries[:MAX_LOGGED_ENDPOINTS]
+    ]
     omitted = len(event.entries) - len(states)
     endpoints = ", ".join(states) + (f" and {omitted} more" if omitted else "")
     log_event("changelog.applied", seq=event.seq, endpoints=endpoints, waited=waited)
--- a/cometseam/discovery/connection.py
+++ b/cometseam/discovery/connection.py
@@ -1,7 +1,7 @@
 """One connection to discovery: a non-blocking socket, and HTTP/1.1 over it (h11).
 
-What has come in can be read in two ways: by the task that waits for it, and at any moment by `read`, which
-never waits. So the front can take in what lies unread before it acts on what it knew.
+Input can be read by the task that waits for it, and at any moment by `read`, which never waits. So the front
+can process unread input before it acts on older knowledge.
 """
 
 import errno
@@ -14,31 +14,34 @@
 from cometseam.protocol import ProtocolError
 from cometseam.protocol.discovery_events import MAX_ANSWER_BYTES
 
-READ_BYTES = 65536  # bytes a call
-MAX_HEAD_BYTES = 65536  # bytes of an answer's head at the most
+READ_BYTES = 65536  # bytes read per call
+MAX_HEAD_BYTES = 65536  # maximum size of the status line and headers of an answer
 
 
 class DiscoveryConnection:
-    """Writes a poll, and collects its answer; one poll at a time."""
+    """Writes a poll and collects its answer; one poll at a time."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        """Make the socket; OSError where the system has none to give."""
+        """Create the socket; raise OSError if the system has none left."""
         self.address = address
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setblocking(False)
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._body = bytearray()
-        self._is_delimited = True  # the answer's end is told by its head; else by the end of the connection
+        self._is_delimited = True  # the headers give the body's length; else the connection's end delimits it
         self._wait_scope: anyio.CancelScope | None = None
-        self.pending = False  # a poll is written and its answer is not whole
+        self.pending = False  # a poll was written and its answer is not complete
         self.closed = False
 
     async def connect(self) -> None:
-        """Wait until the connection has come up; OSError where it does not. Cancelled, it is to be closed."""
+        """Wait until the connection is established; raise OSError if that fails.
+
+        If this call is cancelled, the caller must close the connection.
+        """
         try:
             self._socket.connect(self.address)
         except BlockingIOError as error:
-            if error.errno != errno.EINPROGRESS:  # EAGAIN: no local port is free
+            if error.errno != errno.EINPROGRESS:  # EAGAIN means that no local port is free
                 raise
             await anyio.wait_writable(self._socket)
         if error_code := self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -46,7 +49,7 @@
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     async def send_poll(self, target: str) -> None:
-        """Write a poll."""
+        """Write a poll for the request target `target`."""
         host = f"{self.address[0]}:{self.address[1]}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         data = (self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
@@ -59,7 +62,7 @@
                 await anyio.wait_writable(self._socket)
 
     async def wait_for_input(self) -> None:
-        """Wait until something has come in, or `read` has had the answer meanwhile."""
+        """Wait until input has arrived, or `read` has completed the answer meanwhile."""
         if not self.pending:
             return
         with anyio.CancelScope() as self._wait_scope:
@@ -67,12 +70,12 @@
         self._wait_scope = None
 
     def read(self) -> bytes | None:
-        """Read what has come in; return the answer's text once it is whole.
+        """Read the available input; return the answer's body once it is complete, else None.
 
         Raises:
-            ProtocolError: the answer is of no use, or the connection ended inside it.
-            OSError: the connection broke.
-            h11.RemoteProtocolError: what came is no HTTP.
+            ProtocolError: the answer is unusable, or the connection ended inside it.
+            OSError: the connection failed.
+            h11.RemoteProtocolError: the input is not valid HTTP.
         """
         while self.pending and not self.closed:
             try:
@@ -95,20 +98,20 @@
                 return None if self._is_delimited else self._complete_undelimited_body()
             if isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise ProtocolError(f"status {event.status_code}")
+                    raise ProtocolError(f"expected HTTP status 200, got {event.status_code}")
                 names = {name for name, _ in event.headers}
                 self._is_delimited = bool(names & {b"content-length", b"transfer-encoding"})
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > MAX_ANSWER_BYTES:
-                    raise ProtocolError("an answer that does not end")
+                    raise ProtocolError("the answer is longer than allowed")
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(self._body)
             elif isinstance(event, h11.ConnectionClosed):
                 raise ProtocolError("the connection ended inside an answer")
 
     def _complete_undelimited_body(self) -> bytes | None:
-        """Return an answer that only the connection's end would end, once its text is whole."""
+        """Return a body that only the end of the connection would delimit, once it is complete JSON."""
         if not self._body.rstrip().endswith(b"}"):
             return None
         try:
@@ -118,14 +121,14 @@
         return bytes(self._body)
 
     def prepare_next_poll(self) -> bool:
-        """Make ready for the next poll; False where the connection has to end after this answer."""
+        """Prepare for the next poll; return False if the connection must be closed after this answer."""
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
         self._http.start_next_cycle()
         return True
 
     def close(self) -> None:
-        """Close the socket. What lies unread is lost: `read` first."""
+        """Close the socket. Unread input is lost, so call `read` first."""
         if self.closed:
             return
         self.closed, self.pending = True, False
--- a/cometseam/discovery/schedule.py
+++ b/cometseam/discovery/schedule.py
@@ -1,8 +1,8 @@
-"""When discovery is polled, on how many connections at once, and when one of them is given up. No I/O.
+"""Decides when discovery is polled, over how many connections, and when a connection is abandoned. No I/O.
 
-A poll whose answer is late may still be answered, and that answer notifies the front whether or not it is
-read. So a late poll is not given up: another begins beside it, on a connection of its own, and whichever is
-answered first tells. All times are milliseconds of a monotonic clock, which the caller passes in.
+A late poll may still be answered, and the front is then held to that answer whether or not it reads it. So a
+late poll is not abandoned: another starts in parallel on its own connection, and the first answer to arrive
+is used. All times are milliseconds of a monotonic clock, passed in by the caller.
 """
 
 from dataclasses import dataclass
@@ -10,29 +10,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PollPolicy:
-    """Spans in milliseconds, and how many connections there may be.
+    """Durations in milliseconds, and the limits on connections.
 
-    What discovery would have told, had it been asked, counts as known; so every wait of the front's own is
-    well under the grace of a drain (`for_drain_grace`). By default a silent connection is followed by another
-    after 2.0 s, and then by one each 250 ms, until one is answered.
+    The front is held to everything that discovery would have reported to a poll, so each delay that the front
+    itself causes is well below the drain grace period (`for_drain_grace`). By default a silent connection is
+    followed by another after 2.0 s, and then by one more every 250 ms until one is answered.
     """
 
-    hold: float = 1500.0  # how long discovery may keep a poll that it has nothing to tell
-    quick_hold: float = 1.0  # the same of a poll that begins beside an overdue one: it is answered at once
-    answer_allowance: float = 500.0  # past its hold, an unanswered poll is overdue
-    quick_allowance: float = 200.0  # the same of a poll that is to be answered at once
-    connect_allowance: float = 200.0  # a connection that has not come up by then is overdue
-    abandon_after: float = 5000.0  # past its hold, an unanswered poll is given up
-    connect_abandon_after: float = 1000.0  # a connection that has not come up by then is given up
-    connection_interval: float = 250.0  # between two connections that begin beside each other
-    initial_back_off: float = 20.0  # after a connection that failed, until another begins; it doubles
+    hold: float = 1500.0  # how long discovery may hold a poll while it has no events
+    quick_hold: float = 1.0  # hold of a poll sent in parallel to an overdue one: answered immediately
+    answer_allowance: float = 500.0  # time after its hold at which an unanswered poll is overdue
+    quick_allowance: float = 200.0  # the same for a poll that is to be answered immediately
+    connect_allowance: float = 200.0  # time after which a connection still being established is overdue
+    abandon_after: float = 5000.0  # time after its hold at which an unanswered poll is abandoned
+    connect_abandon_after: float = 1000.0  # time after which a connection being established is abandoned
+    connection_interval: float = 250.0  # between the starts of two parallel connections
+    initial_back_off: float = 20.0  # delay after a failed connection before the next one; doubles each time
     max_back_off: float = 100.0
-    max_connections: int = 8  # connections at once
-    protected_polls: int = 2  # of them, the oldest polls, that are never given up early
+    max_connections: int = 8  # open or being established at the same time
+    protected_polls: int = 2  # the oldest polls among them, which are never abandoned early
 
     @classmethod
     def for_drain_grace(cls, grace: float) -> "PollPolicy":
-        """Return the terms for a grace of drains in ms: no wait is over half of it."""
+        """Return the policy for a drain grace period in ms: no delay exceeds half of it."""
         defaults = cls()
         allowance = min(defaults.quick_allowance, 0.4 * grace)
         return cls(
@@ -45,16 +45,16 @@
 
 @dataclass(slots=True)
 class TrackedConnection:
-    """One connection: coming up (`hold` is None), or with a poll that is not answered yet."""
+    """One connection: being established (`hold` is None), or with an unanswered poll."""
 
     started_at: float
     hold: float | None = None
-    uses_current_address: bool = True  # to the address that is configured now
+    uses_current_address: bool = True  # False after `address_changed`
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduleDecision:
-    """What is to be done now, and when to look again (the same clock)."""
+    """What to do now, and when to check again (on the same clock)."""
 
     start_connection: bool
     abandoned: tuple[int, ...]
@@ -62,65 +62,72 @@
 
 
 class PollSchedule:
-    """Decides for all connections of one front; a connection goes by a number that the caller gives it."""
+    """Decides for all connections of one front; the caller identifies each connection by a number."""
 
     def __init__(self, policy: PollPolicy) -> None:
-        """Begin with no connection."""
+        """Begin without connections."""
         self.policy = policy
         self._connections: dict[int, TrackedConnection] = {}
-        self._earliest_start = float("-inf")  # no connection begins before
+        self._earliest_start = float("-inf")  # no connection starts before this time
         self._back_off = policy.initial_back_off
 
     def __len__(self) -> int:
-        """Return how many connections there are."""
+        """Return the number of connections."""
         return len(self._connections)
 
     def check(self, now: float) -> ScheduleDecision:
-        """Tell whether another connection is to begin, and which ones are given up."""
+        """Return whether to start another connection, and which connections to abandon."""
         abandoned = tuple(
-            number for number, each in self._connections.items() if self._abandon_at(each) <= now
+            number for number, connection in self._connections.items() if self._abandon_at(connection) <= now
         )
-        remaining = [each for number, each in self._connections.items() if number not in abandoned]
+        remaining = [
+            connection for number, connection in self._connections.items() if number not in abandoned
+        ]
         overdue_at = max(
-            (self._overdue_at(each) for each in remaining if each.uses_current_address), default=now
+            (self._overdue_at(connection) for connection in remaining if connection.uses_current_address),
+            default=now,
         )
         start_at = max(overdue_at, self._earliest_start)
         start = start_at <= now
         if start and len(remaining) >= self.policy.max_connections:
             abandoned = (*abandoned, self._connection_to_replace(abandoned))
         times = [
-            self._abandon_at(each) for number, each in self._connections.items() if number not in abandoned
+            self._abandon_at(connection)
+            for number, connection in self._connections.items()
+            if number not in abandoned
         ]
         if not start:
             times.append(start_at)
         return ScheduleDecision(start, abandoned, min(times, default=now + self.policy.hold))
 
     def _connection_to_replace(self, abandoned: tuple[int, ...]) -> int:
-        """Return the connection that gives its place to another.
+        """Return the connection to abandon so that another can start.
 
-        That is the newest with no poll yet, as no answer can be lost with it. Where all have one, it is the
-        longest unanswered but for the oldest, which a very slow discovery still answers: a newer one's answer
-        may be on its way, and the front would be notified without knowing.
+        This is the newest one without a poll, as no answer can be lost with it. If all have a poll, it is the
+        one unanswered for longest, except for the `protected_polls` oldest, which a very slow discovery may
+        still answer. The answer to a newer poll may be on its way, and the front would miss what it reports.
         """
-        remaining = {number: each for number, each in self._connections.items() if number not in abandoned}
-        connecting = [number for number, each in remaining.items() if each.hold is None]
+        remaining = {
+            number: connection for number, connection in self._connections.items() if number not in abandoned
+        }
+        connecting = [number for number, connection in remaining.items() if connection.hold is None]
         if connecting:
             return max(connecting, key=lambda number: remaining[number].started_at)
         return sorted(remaining, key=lambda number: remaining[number].started_at)[self.policy.protected_polls]
 
     def connection_started(self, number: int, now: float) -> None:
-        """Take in that a connection begins to come up."""
-        if any(each.uses_current_address for each in self._connections.values()):
+        """Record that a connection is being established."""
+        if any(connection.uses_current_address for connection in self._connections.values()):
             self._earliest_start = now + self.policy.connection_interval
         self._connections[number] = TrackedConnection(now)
 
     def poll_sent(self, number: int, now: float, immediate: bool = False) -> float:
-        """Take in that a poll is written on a connection; return how long discovery may hold it.
+        """Record that a poll is written on a connection; return for how many ms discovery may hold it.
 
         Args:
-            number: the connection's.
-            now: the time.
-            at_once: the answer is wanted now, also where it tells nothing.
+            number: number of the connection.
+            now: current time.
+            immediate: whether an immediate answer is wanted, even without events.
         """
         connection = self._connections[number]
         is_first = connection.hold is None
@@ -133,52 +140,56 @@
         return hold
 
     def poll_answered(self, number: int, now: float) -> bool:
-        """Take in an answer; return whether the next poll goes over the same connection.
+        """Record an answer; return whether the next poll uses the same connection.
 
-        It does not where another connection polls well, or where discovery has moved.
+        It does not if another connection has a poll that is not overdue, or if the discovery address changed.
         """
         self._back_off = self.policy.initial_back_off
-        # One that answers at once with nothing, and ends each connection, must not keep the front busy.
+        # Avoids a busy loop if discovery answers immediately without events and closes each connection.
         self._earliest_start = now + self.policy.initial_back_off
         answered = self._connections[number]
         others = [
-            each for other, each in self._connections.items() if other != number and each.uses_current_address
+            connection
+            for other, connection in self._connections.items()
+            if other != number and connection.uses_current_address
         ]
-        return answered.uses_current_address and not any(now < self._overdue_at(each) for each in others)
+        return answered.uses_current_address and not any(
+            now < self._overdue_at(connection) for connection in others
+        )
 
     def connection_closed(self, number: int) -> None:
-        """Take in that a connection is closed."""
+        """Record that a connection was closed."""
         self._connections.pop(number, None)
 
     def connection_failed(self, number: int, now: float) -> None:
-        """Take in that a connection broke, was refused, or brought what cannot be used."""
+        """Record that a connection failed, was refused, or delivered unusable input."""
         self.connection_closed(number)
         self._earliest_start = now + self._back_off
         self._back_off = min(2.0 * self._back_off, self.policy.max_back_off)
 
     def address_changed(self, now: float) -> list[int]:
-        """Take in that discovery has another address: a connection to it begins at once.
+        """Record a new discovery address: a connection to it starts immediately.
 
-        Polls that are outstanding at the old one may still be answered. Returned are the connections that are
-        to end: those with no poll yet, and the oldest where there would be no place for the new one.
+        Polls outstanding at the old address may still be answered. Returns the connections to close: those
+        without a poll, and the oldest one if there would be no room for the new connection.
         """
         self._back_off, self._earliest_start = self.policy.initial_back_off, now
-        for each in self._connections.values():
-            each.uses_current_address = False
-        to_close = [number for number, each in self._connections.items() if each.hold is None]
+        for connection in self._connections.values():
+            connection.uses_current_address = False
+        to_close = [number for number, connection in self._connections.items() if connection.hold is None]
         with_poll = [number for number in self._connections if number not in to_close]
         if len(with_poll) >= self.policy.max_connections:
             to_close.append(min(with_poll, key=lambda number: self._connections[number].started_at))
         return to_close
 
-    def _overdue_at(self, each: TrackedConnection) -> float:
-        if each.hold is None:
-            return each.started_at + self.policy.connect_allowance
-        is_quick = each.hold <= self.policy.quick_hold
+    def _overdue_at(self, connection: TrackedConnection) -> float:
+        if connection.hold is None:
+            return connection.started_at + self.policy.connect_allowance
+        is_quick = connection.hold <= self.policy.quick_hold
         allowance = self.policy.quick_allowance if is_quick else self.policy.answer_allowance
-        return each.started_at + each.hold + allowance
+        return connection.started_at + connection.hold + allowance
 
-    def _abandon_at(self, each: TrackedConnection) -> float:
-        if each.hold is None:
-            return each.started_at + self.policy.connect_abandon_after
-        return each.started_at + each.hold + self.policy.abandon_after
+    def _abandon_at(self, connection: TrackedConnection) -> float:
+        if connection.hold is None:
+            return connection.started_at + self.policy.connect_abandon_after
+        return connection.started_at + connection.hold + self.policy.abandon_after
--- a/cometseam/discovery/sequence.py
+++ b/cometseam/discovery/sequence.py
@@ -1,4 +1,4 @@
-"""Which events of an answer are taken in: each once, in order, with none left out. No I/O."""
+"""Decides which events of an answer are accepted: each once, in order, without gaps. No I/O."""
 
 from dataclasses import dataclass, field
 
@@ -7,38 +7,40 @@
 
 @dataclass(slots=True)
 class AcceptResult:
-    """What an answer brought: events to act on, in order, and what went wrong (empty: nothing)."""
+    """Result of an answer: the events to act on, in order, and a description of the error, empty if none."""
 
     events: list[DiscoveryEvent] = field(default_factory=list)
-    duplicates: int = 0  # events that had been taken in before
-    skipped: list[UnusableEvent] = field(default_factory=list)  # events left out, in part or whole
+    duplicates: int = 0  # events that had been accepted before
+    skipped: list[UnusableEvent] = field(default_factory=list)  # events left out, partly or completely
     error: str = ""
 
 
 class EventSequence:
-    """Follows the numbers of events.
+    """Tracks the sequence numbers of events.
 
-    An event that cannot be used, or that does not follow the last one, is asked for once more. If it is no
-    better then, what can be used of it is taken: later drains and purges count more than what is missing.
+    An event that is unusable or does not follow the last one is requested once more. If the repeated answer
+    is no better, its usable part is accepted: later drains and purges matter more than what is missing.
     """
 
     def __init__(self, last_seq: int) -> None:
-        """Begin after the event of this number."""
+        """Begin after the event with this sequence number."""
         self.last_seq = last_seq
-        self._retry_requested = (0, 0)  # the number that was due, and the event that came and was not taken
+        # Expected and received sequence number of the last problem for which a retry was requested.
+        self._last_retry = (0, 0)
 
     def accept(self, events: list[DiscoveryEvent]) -> AcceptResult:
-        """Take in the events of an answer, ordered by number."""
+        """Process the events of an answer, which are ordered by sequence number."""
         result = AcceptResult()
         for index, event in enumerate(events):
             expected_seq = self.last_seq + 1
             if event.seq < expected_seq:
                 result.duplicates += 1
                 continue
-            if self._needs_retry(event, expected_seq) and self._retry_requested != (expected_seq, event.seq):
-                self._retry_requested = (expected_seq, event.seq)
+            if self._needs_retry(event, expected_seq) and self._last_retry != (expected_seq, event.seq):
+                self._last_retry = (expected_seq, event.seq)
                 result.error = f"event {expected_seq}: {_describe_problem(event)}"
-                if event.seq == expected_seq:  # a gap says less: its numbers may not be those of this front
+                # After a gap nothing is used: its sequence numbers may not be those of this front.
+                if event.seq == expected_seq:
                     result.events += _restricting_events(events[index:])
                 return result
             self.last_seq = event.seq
@@ -50,8 +52,8 @@
         return result
 
     def reset_retry(self) -> None:
-        """Have the next doubtful event asked for anew: what was doubted came from elsewhere."""
-        self._retry_requested = (0, 0)
+        """Allow a new retry for the next problem: the previous one was in an answer from elsewhere."""
+        self._last_retry = (0, 0)
 
     @staticmethod
     def _needs_retry(event: DiscoveryEvent, expected_seq: int) -> bool:
@@ -63,9 +65,10 @@
 
 
 def _restricting_events(events: list[DiscoveryEvent]) -> list[DiscoveryEvent]:
-    """Return what is safe to act on before events are asked for again: endpoints that take no more, purges.
+    """Return what is safe to apply before the events are requested again.
 
-    They were told with this answer; the next one may take a while.
+    These are purges and endpoints that are not ready: this answer has reported them, and the next one may
+    take a while.
     """
     safe: list[DiscoveryEvent] = []
     for event in events:
@@ -73,6 +76,6 @@
         if isinstance(usable, Purge):
             safe.append(usable)
         elif usable is not None:
-            entries = tuple(line for line in usable.entries if not line.is_ready)
+            entries = tuple(entry for entry in usable.entries if not entry.is_ready)
             safe += [EndpointList(usable.seq, False, entries)] if entries else []
     return safe
