--- a/cometseam/protocol/__init__.py
+++ b/cometseam/protocol/__init__.py
@@ -1,6 +1,7 @@
-"""Codecs of what is spoken on sockets: client frames, RESP and the change log. Nothing here does I/O.
+"""Codecs of the socket protocols: client frames, RESP and discovery events. Nothing here does I/O.
 
-Decoders take any piece of a stream and are bounded: what is larger than the protocol allows is malformed.
+Decoders accept a stream in arbitrary pieces and limit their memory: a message larger than the protocol allows
+raises `ProtocolError`. A pull is a client's request; a relay is one attempt of it at a cache.
 """
 
 from collections.abc import Callable
@@ -8,24 +9,24 @@
 
 
 class ProtocolError(ValueError):
-    """The other side sent what the protocol does not allow."""
+    """The peer sent something that the protocol does not allow."""
 
 
 class Body(Protocol):
-    """Room for the bytes of one message."""
+    """Buffer for the bytes of one message."""
 
     def write(self, data: memoryview) -> int:
-        """Take in what is still missing, at most all of `data`, and tell how much that was."""
+        """Append the bytes that are still missing from the start of `data`; return how many were consumed."""
 
     def is_complete(self) -> bool:
-        """Tell whether nothing is missing any more."""
+        """Return whether all bytes of the message have been written."""
 
     def views(self, start: int = 0) -> list[memoryview]:
         """Return the bytes from `start` on, in pieces."""
 
     def free(self) -> None:
-        """Give the room back; the body must not be used after it."""
+        """Release the buffer; the body must not be used afterwards."""
 
 
-# Room for so many bytes; None: none is left now, ask again later.
+# Returns a buffer for a number of bytes; None if none is available now, and the caller has to retry later.
 BodyAllocator = Callable[[int], Body | None]
--- a/cometseam/protocol/discovery_events.py
+++ b/cometseam/protocol/discovery_events.py
@@ -1,4 +1,4 @@
-"""The change log: numbered events on the list of caches and on purges."""
+"""Decoding of discovery answers: numbered events on the list of caches and on purges."""
 
 import json
 from contextlib import suppress
@@ -9,13 +9,13 @@
 from cometseam.protocol import ProtocolError
 from cometseam.settings import NameTables
 
-MAX_ANSWER_BYTES = 4 << 20  # bytes of one answer
+MAX_ANSWER_BYTES = 4 << 20  # maximum size of one answer
 LIFECYCLES = {"active": Lifecycle.READY, "leaving": Lifecycle.DRAINING, "left": Lifecycle.GONE}
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One line of the list of caches; zone and kind by their places in the settings."""
+    """One entry of the list of caches; zone and kind are indices into the lists of the settings."""
 
     name: str
     address: tuple[str, int]
@@ -28,13 +28,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests may be sent to it."""
+        """Return whether requests may be sent to the endpoint."""
         return self.lifecycle is Lifecycle.READY
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The list of caches, or what has changed in it."""
+    """The complete list of caches (`is_snapshot`), or the entries that changed."""
 
     seq: int
     is_snapshot: bool
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """An object, or with object 0 a group, was purged at a time."""
+    """An object was purged at a time; with object 0, a whole group."""
 
     seq: int
     object: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableEvent:
-    """An event that can't be read, and of a list of caches the lines that can."""
+    """An event that cannot be decoded; `usable` holds the entries of a list of caches that can be."""
 
     seq: int
     reason: str
@@ -64,12 +64,12 @@
 
 
 def poll_path(since: int, timeout: int) -> str:
-    """Return what to ask for: the events after `since`."""
+    """Return the request target of a poll for the events after `since`, held for at most `timeout` ms."""
     return f"/changes?since={since}&timeout={timeout}"
 
 
 def parse_answer(raw: bytes, names: NameTables) -> list[DiscoveryEvent]:
-    """Read the text of an answer."""
+    """Decode the text of an answer; raise ProtocolError if it is not valid."""
     try:
         return read_events(Section(json.loads(raw)), names)
     except (ValueError, RecursionError) as error:
@@ -77,7 +77,10 @@
 
 
 def read_events(answer: Section, names: NameTables) -> list[DiscoveryEvent]:
-    """Read events, in order. One that can't be read says so in its place: none is half applied."""
+    """Decode events, ordered by sequence number.
+
+    An event that cannot be decoded becomes an `UnusableEvent`, so that no event is silently applied in part.
+    """
     answer.integer("seq", minimum=0)
     events: list[DiscoveryEvent] = []
     for item in answer.sections("results"):
@@ -90,7 +93,7 @@
             )
         except FieldError as error:
             events.append(UnusableEvent(seq, str(error), _parse_usable_entries(seq, item, names)))
-    return sorted(events, key=lambda change: change.seq)
+    return sorted(events, key=lambda event: event.seq)
 
 
 def _parse_purge(seq: int, item: Section) -> Purge:
@@ -102,16 +105,17 @@
 
 
 def _parse_endpoint_list(seq: int, item: Section, names: NameTables) -> EndpointList:
-    """Read a list of caches of which each line can be read."""
+    """Decode a list of caches; raise FieldError if any entry is invalid."""
     fleet = item.section("fleet")
-    entries = tuple(_parse_entry(line, names) for line in fleet.sections("endpoints"))
+    entries = tuple(_parse_entry(entry, names) for entry in fleet.sections("endpoints"))
     return EndpointList(seq, fleet.flag("snapshot"), entries)
 
 
 def _parse_usable_entries(seq: int, item: Section, names: NameTables) -> EndpointList | None:
-    """Read what can be read of a list of caches.
+    """Decode the valid entries of a list of caches.
 
-    Of a line that can't, the name and a state that takes no more requests are enough: it counts as gone.
+    An invalid entry with a valid name and a status other than ready is kept as gone, so that it gets no more
+    requests.
     """
     entries = []
     try:
@@ -130,8 +134,8 @@
 
 
 def _parse_entry(entry: Section, names: NameTables) -> EndpointEntry:
-    zones = {name: place for place, name in enumerate(names.zones)}
-    kinds = {name: place for place, name in enumerate(names.kinds)}
+    zones = {name: index for index, name in enumerate(names.zones)}
+    kinds = {name: index for index, name in enumerate(names.kinds)}
     return EndpointEntry(
         name=entry.text("name"),
         address=read_address(entry, "address"),
@@ -145,7 +149,7 @@
 
 
 def read_id(section: Section, key: str) -> int:
-    """Read an id of 16 hex digits."""
+    """Read an object id of 16 hex digits."""
     text = section.text(key)
     try:
         if len(text) == 16:
@@ -156,7 +160,7 @@
 
 
 def read_address(section: Section, key: str) -> tuple[str, int]:
-    """Read `host:port`."""
+    """Read an address of the form `host:port`."""
     text = section.text(key)
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or not 0 < int(port) < 65536:
--- a/cometseam/protocol/frames.py
+++ b/cometseam/protocol/frames.py
@@ -1,4 +1,4 @@
-"""Frames between clients and the front."""
+"""Frames exchanged between clients and the front."""
 
 import re
 import struct
@@ -8,12 +8,12 @@
 from cometseam.protocol import Body, BodyAllocator, ProtocolError
 
 FRAME_HEAD = struct.Struct(">IBI")
-COUNTED_HEAD_BYTES = 5  # bytes of the head that a frame's length counts
+COUNTED_HEAD_BYTES = 5  # bytes of the head that a frame's length field includes
 MAX_FRAME_LENGTH = 262144
 
 
 class FrameType(IntEnum):
-    """What a frame is."""
+    """The type code of a frame."""
 
     PULL = 16
     ANSWER = 17
@@ -24,7 +24,7 @@
 
 
 class AnswerCode(IntEnum):
-    """What an answer tells."""
+    """The result code of an answer."""
 
     SERVED = 1
     SHED = 2
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Frame:
-    """One frame; its payload lies in `payload_buffer`, or is small and came in one piece."""
+    """One frame; the payload is in `payload_buffer`, or in `payload` if it arrived in one piece."""
 
     type: int
     stream: int
@@ -41,19 +41,19 @@
     payload_buffer: Body | None = None
 
     def parse_fields(self) -> tuple[dict[str, str], int]:
-        """Read the fields, and tell where the body begins."""
+        """Parse the fields; return them and the offset at which the body begins."""
         return read_fields(
             self.payload if self.payload_buffer is None else b"".join(self.payload_buffer.views())
         )
 
     def free(self) -> None:
-        """Give back what the payload took."""
+        """Release the payload's buffer."""
         if self.payload_buffer is not None:
             self.payload_buffer.free()
 
 
 class Decoder:
-    """Takes a stream apart into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self, allocate_body: BodyAllocator) -> None:
         self._allocate_body = allocate_body
@@ -61,7 +61,11 @@
         self._body: Body | None = None
 
     def feed(self, data: memoryview, frames: list[Frame]) -> int:
-        """Append the frames that end in `data`; tell how much of it was taken in: less where room lacks."""
+        """Append the frames that are completed by `data` to `frames`.
+
+        Returns:
+            The number of bytes consumed; less than all if no buffer is available for a payload.
+        """
         offset = 0
         while offset < len(data):
             missing = FRAME_HEAD.size - len(self._head)
@@ -72,7 +76,7 @@
                     break
             length, kind, stream = FRAME_HEAD.unpack(self._head)
             if not COUNTED_HEAD_BYTES <= length <= MAX_FRAME_LENGTH:
-                raise ProtocolError(f"a frame of {length} bytes")
+                raise ProtocolError(f"frame length out of range: {length} bytes")
             size = length - COUNTED_HEAD_BYTES
             if self._body is None:
                 if size <= len(data) - offset:
@@ -92,18 +96,18 @@
 
     @property
     def has_partial_frame(self) -> bool:
-        """Tell whether a frame is half read."""
+        """Return whether a frame has been read in part."""
         return bool(self._head)
 
     def close(self) -> None:
-        """Give back what a half-read frame took."""
+        """Release the buffer of a partly read frame."""
         if self._body is not None:
             self._body.free()
             self._body = None
 
 
 def read_fields(payload: bytes) -> tuple[dict[str, str], int]:
-    """Read fields, and tell where they end."""
+    """Parse length-prefixed fields; return them and the offset at which they end."""
     fields: dict[str, str] = {}
     try:
         offset = 1
@@ -113,9 +117,9 @@
             size = payload[end] << 8 | payload[end + 1]
             offset = end + 2 + size
             if offset > len(payload):
-                raise ProtocolError("fields: the payload ends inside them")
+                raise ProtocolError("fields: the payload ends inside a field")
             if name in fields:
-                raise ProtocolError("fields: one comes twice")
+                raise ProtocolError("fields: a name occurs twice")
             fields[name] = payload[end + 2 : offset].decode()
     except (IndexError, UnicodeDecodeError) as error:
         raise ProtocolError(f"fields: {error}") from error
@@ -123,7 +127,7 @@
 
 
 def write_fields(fields: dict[str, str]) -> bytes:
-    """Write fields."""
+    """Encode fields, each with its length."""
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         raw_name, raw = name.encode(), value.encode()
@@ -132,18 +136,18 @@
 
 
 def write_frame(kind: FrameType, stream: int, payload: bytes = b"", remaining: int = 0) -> bytes:
-    """Write a frame, or the beginning of one whose payload goes on for `more` bytes."""
+    """Encode a frame, or the beginning of one whose payload continues for `remaining` bytes."""
     return FRAME_HEAD.pack(COUNTED_HEAD_BYTES + len(payload) + remaining, kind, stream) + payload
 
 
 def write_answer(stream: int, code: AnswerCode, fields: dict[str, str], remaining: int = 0) -> bytes:
-    """Write an answer up to its body."""
+    """Encode an answer up to its body, which has `remaining` bytes."""
     return write_frame(FrameType.ANSWER, stream, bytes((code,)) + write_fields(fields), remaining)
 
 
 @dataclass(slots=True)
 class PullRequest:
-    """What a client asks for."""
+    """A client's request, as decoded from a pull frame; `time_left` is in ms."""
 
     id: str
     workload: str
@@ -152,13 +156,13 @@
     part: int
     group: int
     size_kb: float
-    held_tag: str  # of the copy that the client holds; empty: none
+    held_tag: str  # tag of the copy that the client holds; empty if it has none
     frame: Frame
     body_offset: int
-    idempotency_key: str = ""  # by which caches know a repeat of a tagged pull; goes on unchanged
+    idempotency_key: str = ""  # lets caches recognise a repeated request; forwarded unchanged, may be empty
 
     def body(self) -> list[memoryview]:
-        """Return the body, in pieces."""
+        """Return the request body, in pieces."""
         if self.frame.payload_buffer is not None:
             return self.frame.payload_buffer.views(self.body_offset)
         return [memoryview(self.frame.payload)[self.body_offset :]]
@@ -166,23 +170,21 @@
 
 MAX_TIME_LEFT_MS = 3600000.0
 HEX_DIGITS = frozenset("0123456789abcdef")
-NUMBER_PATTERN = re.compile(
-    r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?"
-)  # no other alphabet's digits
-IDEMPOTENCY_KEY_PATTERN = re.compile(
-    r"[!-+\--<>-~]{0,128}"
-)  # printable, but for what parts the fields of a command
+# ASCII digits only; `float` would also accept the digits of other scripts.
+NUMBER_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
+# Printable ASCII without `,` and `=`, which separate the fields of a command to a cache.
+IDEMPOTENCY_KEY_PATTERN = re.compile(r"[!-+\--<>-~]{0,128}")
 INTEGER_PATTERN = re.compile(r"[0-9]{1,12}")
 
 
 def read_pull_request(frame: Frame) -> PullRequest:
-    """Read an order; what is missing or unusable is malformed, and the text names the field."""
+    """Decode a pull frame; raise ProtocolError naming the field if one is missing or invalid."""
     fields, body_offset = frame.parse_fields()
 
     def number(name: str, minimum: float, maximum: float, pattern: re.Pattern[str] = NUMBER_PATTERN) -> float:
         text = fields.get(name, "")
         if not pattern.fullmatch(text):
-            raise ProtocolError(f"{name}: missing or not a number of its kind")
+            raise ProtocolError(f"{name}: missing or not a valid number")
         value = float(text)
         if not minimum <= value <= maximum:
             raise ProtocolError(f"{name}: out of range")
@@ -199,8 +201,8 @@
 
     def read_idempotency_key() -> str:
         value = fields.get("unique", "")
-        if not IDEMPOTENCY_KEY_PATTERN.fullmatch(value):  # it is written among other fields
-            raise ProtocolError("unique: not a mark that can be passed on")
+        if not IDEMPOTENCY_KEY_PATTERN.fullmatch(value):  # it is forwarded as one field of a command
+            raise ProtocolError("unique: not a key that can be forwarded")
         return value
 
     return PullRequest(
@@ -219,22 +221,22 @@
 
 
 def write_served(stream: int, is_not_modified: bool, remaining: int) -> bytes:
-    """Write the answer that a pull was served, up to its body."""
+    """Encode the answer to a served pull up to its body, which has `remaining` bytes."""
     return write_answer(stream, AnswerCode.SERVED, {"ok304": "1"} if is_not_modified else {}, remaining)
 
 
 def write_shed(stream: int, retry_after: float) -> bytes:
-    """Write the answer that a pull was shed."""
+    """Encode the answer to a shed pull; `retry_after` in ms is omitted if it is 0."""
     return write_answer(
         stream, AnswerCode.SHED, {"later": str(round(retry_after))} if retry_after > 0 else {}
     )
 
 
 def write_errored(stream: int, reason: str = "") -> bytes:
-    """Write the answer that a pull has errored; on stream 0 it belongs to no pull."""
+    """Encode the answer to a failed pull; on stream 0 it belongs to no pull."""
     return write_answer(stream, AnswerCode.ERRORED, {"reason": reason[:200]} if reason else {})
 
 
 def write_readiness(stream: int, is_ready: bool) -> bytes:
-    """Write whether the front can serve."""
+    """Encode the reply to a readiness check: whether the front can serve."""
     return write_frame(FrameType.READINESS, stream, bytes((1 if is_ready else 2,)) + write_fields({}))
--- a/cometseam/protocol/resp.py
+++ b/cometseam/protocol/resp.py
@@ -1,4 +1,4 @@
-"""Commands to caches and their answers, as RESP arrays of bulk strings."""
+"""Commands to caches and their answers, encoded as RESP arrays of bulk strings."""
 
 import math
 from dataclasses import dataclass, replace
@@ -7,8 +7,8 @@
 from cometseam.protocol import Body, BodyAllocator, ProtocolError
 
 MAX_BODY_BYTES = 262144
-MAX_HEAD_BYTES = 8192  # bytes of an answer up to its body
-MAX_NUMBER_BYTES = 12  # bytes of a line that counts something
+MAX_HEAD_BYTES = 8192  # maximum size of an answer up to its body
+MAX_NUMBER_BYTES = 12  # maximum size of a line that gives a count or a length
 HELLO_REPLY = "FIT"
 OUTCOMES_BY_WORD = {
     "DONE": Outcome.OK, "KEEP": Outcome.OK, "LACK": Outcome.MISS, "WAIT": Outcome.FULL,
@@ -24,26 +24,26 @@
 
 @dataclass(slots=True)
 class Command:
-    """A relay as it is written, without its body."""
+    """The fields of a relay, without its body."""
 
     id: str
     workload: str
     object: str
     part: int
-    source: str  # empty: no fill
+    source: str  # where the cache fills from; empty: no fill
     rank: int
-    oldest: float  # ms; 0: the fresh time of the workload
+    oldest: float  # maximum age of a copy in ms; 0: the default of the workload
     join: bool
     only_held: bool
     parent_keeps_none: bool
     renew: bool
     held_tag: str
-    mark: str = ""  # of a tagged pull
+    mark: str = ""  # idempotency key of the pull; empty if it has none
 
 
 @dataclass(slots=True)
 class Answer:
-    """One answer of a cache; `is_not_modified`: the client's copy is the one, and no bytes come."""
+    """One answer of a cache; `waited` is in ms."""
 
     id: str
     word: str
@@ -52,50 +52,54 @@
     waited: float = 0.0
     load: dict[str, float] | None = None
     body: Body | None = None
-    tag: str = ""  # of the copy
+    tag: str = ""  # tag of the delivered copy
 
     @property
     def is_not_modified(self) -> bool:
-        """Tell whether the client's own copy is the one."""
+        """Return whether the client's copy is current, so that no body follows."""
         return self.word == "KEEP"
 
 
 class DiscardedBody:
-    """Passes over the bytes of a message that nobody wants."""
+    """Body that discards the bytes of a message that is no longer wanted."""
 
     def __init__(self, size: int) -> None:
         self._missing = size
 
     def write(self, data: memoryview) -> int:
-        """Pass over what is still missing."""
+        """Discard the bytes that are still missing from the start of `data`; return how many these were."""
         discarded = min(self._missing, len(data))
         self._missing -= discarded
         return discarded
 
     def is_complete(self) -> bool:
-        """Tell whether nothing is missing any more."""
+        """Return whether all bytes of the message have been discarded."""
         return not self._missing
 
     def views(self, start: int = 0) -> list[memoryview]:
-        """Return nothing."""
+        """Return no bytes: none are kept."""
         return []
 
     def free(self) -> None:
-        """Nothing is held."""
+        """Do nothing: no buffer is held."""
 
 
 class Decoder:
-    """Takes a stream apart into answers."""
+    """Splits a byte stream into answers."""
 
     def __init__(self, allocate_body: BodyAllocator) -> None:
         self._allocate_body = allocate_body
         self._head = bytearray()
         self._partial_answer: Answer | None = None
         self._missing_body_bytes = 0
-        self._missing_line_end_bytes = 0  # bytes of the line end after a body that are still to come
+        self._missing_line_end_bytes = 0  # bytes still missing of the line end after a body
 
     def feed(self, data: memoryview, answers: list[Answer]) -> int:
-        """Append the answers that end in `data`; tell how much of it was taken in: less where room lacks."""
+        """Append the answers that are completed by `data` to `answers`.
+
+        Returns:
+            The number of bytes consumed; less than all if no buffer is available for a body.
+        """
         offset = 0
         while offset < len(data):
             if self._partial_answer is None:
@@ -104,7 +108,7 @@
                 head = _read_head(self._head)
                 if head is None:
                     if len(self._head) >= MAX_HEAD_BYTES:
-                        raise ProtocolError("an answer's fields do not end")
+                        raise ProtocolError("an answer's head is longer than allowed")
                     return len(data)
                 self._partial_answer, self._missing_body_bytes, end = head
                 offset += end - buffered
@@ -122,7 +126,7 @@
                 self._missing_body_bytes -= consumed
             elif self._missing_line_end_bytes:
                 if data[offset] != b"\r\n"[2 - self._missing_line_end_bytes]:
-                    raise ProtocolError("a body is longer than told")
+                    raise ProtocolError("a body is longer than its announced length")
                 self._missing_line_end_bytes -= 1
                 offset += 1
             if (
@@ -136,37 +140,45 @@
 
     @property
     def has_partial_answer(self) -> bool:
-        """Tell whether an answer is half read."""
+        """Return whether an answer has been read in part."""
         return bool(self._head) or self._partial_answer is not None
 
     @property
     def partial_answer_id(self) -> str | None:
-        """Tell whose answer is half read: an id, empty where that has not come yet; None: there is none."""
+        """Return the id of the partly read answer.
+
+        It is empty if the id itself is not complete yet, and None if no answer is partly read.
+        """
         if self._partial_answer is not None:
             return self._partial_answer.id
         return "" if self._head else None
 
     def discard(self, id: str) -> None:
-        """Keep no more of this answer, if it is half read: its rest is passed over."""
+        """Discard the answer with this id, including the bytes still to arrive, if it is partly read."""
         if self._partial_answer is not None and self._partial_answer.id == id:
             if self._partial_answer.body is not None:
                 self._partial_answer.body.free()
             self._partial_answer = replace(self._partial_answer, body=DiscardedBody(self._missing_body_bytes))
 
     def close(self) -> None:
-        """Give back what a half-read answer took."""
+        """Release the buffer of a partly read answer."""
         if self._partial_answer is not None and self._partial_answer.body is not None:
             self._partial_answer.body.free()
             self._partial_answer = None
 
 
 def _read_head(raw: bytearray) -> tuple[Answer, int, int] | None:
-    """Read an answer up to its body: the answer, the body's size (-1: it has none), and where that begins."""
+    """Parse an answer up to its body.
+
+    Returns:
+        The answer, the body's size (-1 if there is no body) and the offset at which the head ends; None if
+        the head is not complete.
+    """
     count = _parse_length(raw, 0, b"*")
     if count is None:
         return None
     if not 2 <= count[0] <= 4:
-        raise ProtocolError(f"an answer of {count[0]} parts")
+        raise ProtocolError(f"an answer must have 2 to 4 elements, got {count[0]}")
     parts: list[bytes] = []
     offset = count[1]
     for index in range(count[0]):
@@ -176,16 +188,16 @@
         offset = size[1]
         if index == 3:
             if size[0] > MAX_BODY_BYTES:
-                raise ProtocolError(f"a body of {size[0]} bytes")
+                raise ProtocolError(f"a body is longer than allowed: {size[0]} bytes")
             return _parse_answer(parts, True), size[0], offset
         if size[0] > MAX_HEAD_BYTES:
-            raise ProtocolError(f"a part of {size[0]} bytes")
+            raise ProtocolError(f"an element is longer than allowed: {size[0]} bytes")
         if len(raw) < offset + size[0] + 2:
             return None
         parts.append(bytes(raw[offset : offset + size[0]]))
         offset += size[0] + 2
         if raw[offset - 2 : offset] != b"\r\n":
-            raise ProtocolError("a part is longer than told")
+            raise ProtocolError("an element is longer than its announced length")
     return _parse_answer(parts, False), -1, offset
 
 
@@ -194,11 +206,11 @@
         id, word, *rest = (part.decode() for part in parts)
         fields = read_fields(rest[0]) if rest else {}
     except UnicodeDecodeError as error:
-        raise ProtocolError(f"an answer that is no text: {error}") from error
+        raise ProtocolError(f"an answer is not valid UTF-8: {error}") from error
     if word not in OUTCOMES_BY_WORD:
-        raise ProtocolError(f"an unknown word {word[:20]!r}")
+        raise ProtocolError(f"unknown result {word[:20]!r} in an answer")
     if word == "DONE" and not has_body:
-        raise ProtocolError("DONE without bytes")
+        raise ProtocolError("an answer with the result DONE has no body")
     load = None
     if "rep" in fields:
         items = (item.partition(":") for item in fields["rep"].split(";"))
@@ -214,39 +226,42 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise ProtocolError(f"a figure was expected, not {text[:20]!r}")
+        raise ProtocolError(f"expected a finite number, got {text[:20]!r}")
     return value
 
 
 def _parse_length(raw: bytearray, offset: int, prefix: bytes) -> tuple[int, int] | None:
     if len(raw) > offset and raw[offset : offset + 1] != prefix:
-        raise ProtocolError(f"{prefix!r} was expected, not {bytes(raw[offset : offset + 1])!r}")
+        raise ProtocolError(f"expected {prefix!r}, got {bytes(raw[offset : offset + 1])!r}")
     end = raw.find(b"\r\n", offset, offset + MAX_NUMBER_BYTES)
     if end < 0:
         if len(raw) >= offset + MAX_NUMBER_BYTES:
-            raise ProtocolError("a number that does not end")
+            raise ProtocolError("a line with a number is longer than allowed")
         return None
     digits = bytes(raw[offset + 1 : end])
     if not digits.isdigit():
-        raise ProtocolError(f"a number was expected, not {digits!r}")
+        raise ProtocolError(f"expected a number, got {digits!r}")
     return int(digits), end + 2
 
 
 def read_fields(text: str) -> dict[str, str]:
-    """Read `name=value,name=value`, or `-` for none."""
+    """Parse fields of the form `name=value,name=value`; `-` stands for no fields."""
     if text == "-":
         return {}
     fields: dict[str, str] = {}
     for item in text.split(","):
         name, separator, value = item.partition("=")
         if not separator:
-            raise ProtocolError(f"a field without a value: {item[:40]!r}")
+            raise ProtocolError(f"expected a field of the form name=value, got {item[:40]!r}")
         fields[name] = value
     return fields
 
 
 def write_request(command: Command, time_out: float, body_bytes: int) -> bytes:
-    """Write a relay up to its body of so many bytes; after the body a line end is due."""
+    """Encode a relay up to its body of `body_bytes` bytes, which the caller follows with a line end.
+
+    `time_out` is in ms.
+    """
     fields = [f"lane={command.workload}", f"name={command.object}", f"piece={command.part}"]
     fields.append(f"ttl={max(round(time_out), 1)}")
     if command.source:
@@ -254,7 +269,7 @@
     if command.rank:
         fields.append(f"tier={command.rank}")
     if command.oldest > 0:
-        fields.append(f"fresh={max(int(command.oldest), 1)}")  # rounded down: never older than asked
+        fields.append(f"fresh={max(int(command.oldest), 1)}")  # rounded down, so never older than requested
     options = {"ride": command.join, "have-only": command.only_held, "through": command.parent_keeps_none,
            "update": command.renew}  # fmt: skip
     if any(options.values()):
@@ -267,12 +282,12 @@
 
 
 def write_stop(id: str) -> bytes:
-    """Write that a relay is given up."""
+    """Encode the command that cancels a relay."""
     return b"*2\r\n" + _bulk("STOP") + _bulk(id)
 
 
 def write_hello(tag: str) -> bytes:
-    """Ask whether the connection works."""
+    """Encode the command that checks whether a connection works."""
     return b"*2\r\n" + _bulk("HELO") + _bulk(tag)
 
 
