--- a/cometseam/wire/__init__.py
+++ b/cometseam/wire/__init__.py
@@ -1,5 +1,8 @@
-"""The simulator's wire: `frames` reads and writes its records, `settings` its start message."""
+"""The simulator's binary protocol on standard input and output: `frames` reads and writes its records.
+
+A pull is a client's request; a relay is one attempt of it.
+"""
 
 
 class WireFormatError(ValueError):
-    """The other side sent what the wire does not allow."""
+    """The simulator sent something that the protocol does not allow."""
--- a/cometseam/wire/frames.py
+++ b/cometseam/wire/frames.py
@@ -1,6 +1,7 @@
-"""The wire's binary frames: batches of events in, one reply of actions out for each.
+"""Binary frames of the simulator's protocol: each batch of events is answered by one reply of actions.
 
-The record layouts follow the wire page; names of events and actions are mapped to ours here.
+The record layouts follow the protocol's specification; its codes for events and actions are mapped to the
+classes of `interface` here.
 """
 
 import math
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """An instance starts."""
+    """An instance starts with a seed and its settings as JSON text."""
 
     seed: int
     settings: bytes
@@ -56,7 +57,7 @@
 
 
 def read_frame(source: BinaryIO) -> tuple[float, bytes] | None:
-    """Read one batch: its clock and its records. None where input ended between two batches."""
+    """Read one batch; return its clock in ms and its records, or None if the input ended between batches."""
     head = source.read(BATCH.size)
     if not head:
         return None
@@ -64,7 +65,7 @@
         raise WireFormatError("batch header: input ended inside it")
     length, now = BATCH.unpack(head)
     if not math.isfinite(now):
-        raise WireFormatError("batch header: the clock is not a number")
+        raise WireFormatError("batch header: the clock is not a finite number")
     body = source.read(length)
     if len(body) < length:
         raise WireFormatError(f"batch: {length} bytes announced, input ended after {len(body)}")
@@ -72,7 +73,7 @@
 
 
 def read_records(body: bytes) -> Iterator[tuple[int, Create | Crash | interface.Event]]:
-    """Yield each event of a batch with its instance. Records of unknown codes are skipped."""
+    """Yield each event of a batch with its instance; records with unknown codes are skipped."""
     offset, instance = 0, -1
     while offset < len(body):
         if offset + RECORD.size > len(body):
@@ -103,7 +104,7 @@
 
 def _check_length(fields: bytes, offset: int, count: int, size: int) -> None:
     if len(fields) != offset + count * size:
-        raise WireFormatError(f"a length of {offset + count * size} was expected, not {len(fields)}")
+        raise WireFormatError(f"expected {offset + count * size} bytes, got {len(fields)}")
 
 
 def _unpack_loads(fields: bytes, offset: int, count: int) -> tuple[float, ...]:
@@ -140,7 +141,7 @@
     if not (
         math.isfinite(time_left) and math.isfinite(size_kb) and math.isfinite(part) and math.isfinite(group)
     ):
-        raise WireFormatError("a field is not a number")
+        raise WireFormatError("a field is not a finite number")
     return interface.Pull(
         pull, object_id, int(part), workload, time_left, bool(flags & 4), size_kb, int(group)
     )
@@ -190,7 +191,7 @@
 
 
 def _record_packer(layout: str) -> Callable[..., bytes]:
-    """A writer of records of one layout, code first, with the length filled in."""
+    """Return a function that packs records of one layout: code, then fields, with the length filled in."""
     packer = struct.Struct(layout.replace("<B", "<BI", 1))
     length = packer.size - RECORD.size
     return lambda code, *fields: packer.pack(code, length, *fields)
@@ -212,7 +213,7 @@
 
 
 def write_failure(text: str) -> bytes:
-    """The record that tells that the decision code has failed."""
+    """Encode the record that reports a failure of the decision code."""
     return _pack_text(17, text)
 
 
@@ -242,7 +243,7 @@
 
 
 def write_reply(records: list[tuple[int, bytes]]) -> bytes:
-    """Encode a reply from records, each with its instance."""
+    """Encode a reply from records, each paired with its instance."""
     parts: list[bytes] = []
     last_instance = -1
     for instance, record in records:
--- a/cometseam/wirehost.py
+++ b/cometseam/wirehost.py
@@ -1,4 +1,4 @@
-"""Hosts separate instances of the decision module on the simulator's wire: standard input to output."""
+"""Runs instances of the decision module for the simulator, over standard input and output."""
 
 import json
 import sys
@@ -21,7 +21,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch with one reply until input ends."""
+    """Answer each batch with one reply until the input ends."""
     fronts: dict[int, Front] = {}
     while (frame := read_frame(source)) is not None:
         now, body = frame
@@ -34,10 +34,10 @@
             elif instance in fronts:
                 try:
                     actions = fronts[instance].handle(now, event)
-                except Exception as error:  # the wire has a record for a module that fails
+                except Exception as error:  # the protocol has a record for failures of the decision code
                     records.append((instance, write_failure(f"{type(error).__name__}: {error}")))
                     continue
-                # What is sent is sent at once here: there is nothing to take back before it is written.
+                # Relays are sent immediately here, so none can be recalled before it is written.
                 sent = (action for action in actions if not (isinstance(action, Recall) and action.if_unsent))
                 records += [(instance, write_action(action)) for action in sent]
         sink.write(write_reply(records))
@@ -52,7 +52,7 @@
 
 
 def main() -> int:
-    """Run until input ends; a malformed input ends it with one line on standard error."""
+    """Run until the input ends; on malformed input print one line to standard error and return status 2."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireFormatError as error:
