--- a/cometseam/__main__.py
+++ b/cometseam/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the front, or with words on the command line one of the commands of `cometseam.cli`."""
+"""Starts the front, or, with command line arguments, a command of `cometseam.cli`."""
 
 import sys
 
@@ -6,10 +6,10 @@
 
 
 def main() -> int:
-    """Serve; the command line is imported only where there is one, since serving needs none of it."""
+    """Serve, or run a command; the command line modules are imported only if they are needed."""
     if len(sys.argv) == 1:
         signals.install_handlers()
-        from cometseam.serving import serve  # takes a while, in which signals may come
+        from cometseam.serving import serve  # a slow import, during which signals may arrive
 
         return serve()
     from cometseam.cli import run_commands
--- a/cometseam/config.py
+++ b/cometseam/config.py
@@ -1,4 +1,4 @@
-"""The one place where the configuration is read, checked and given defaults."""
+"""Reads and checks the configuration and applies its defaults."""
 
 import json
 import os
@@ -17,26 +17,29 @@
     read_settings,
 )
 
-CONFIG_VARIABLE, LOG_VARIABLE, LOG_FORMAT_VARIABLE = "ROUTER_CONFIG", "COMETSEAM_LOG", "COMETSEAM_LOG_FORMAT"
-TRACE_VARIABLE = "COMETSEAM_TRACE"  # off, wrong or all: which pulls' trails are logged
+CONFIG_VARIABLE = "ROUTER_CONFIG"
+LOG_VARIABLE = "COMETSEAM_LOG"
+LOG_FORMAT_VARIABLE = "COMETSEAM_LOG_FORMAT"
+TRACE_VARIABLE = "COMETSEAM_TRACE"  # which pulls' traces are logged: off, wrong or all
 OPERATOR_VARIABLE = "COMETSEAM_OPERATOR"
 LOG_FORMATS = {"text": "text", "json": "json"}
 LOG_LEVELS = {level: level for level in ("DEBUG", "INFO", "WARNING", "ERROR")}
 TRACE_MODES = {mode: mode for mode in ("off", "wrong", "all")}
-# Clients hold a third of the descriptors at most: half leaves place for those that only hold connections.
-CLIENT_SOCKETS_DIVISOR, PEER_SOCKETS_DIVISOR = 2, 3
+# Clients hold at most a third of the sockets; half leaves room for those that only keep connections open.
+CLIENT_SOCKETS_DIVISOR = 2
+PEER_SOCKETS_DIVISOR = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the program is told."""
+    """The checked configuration of a front."""
 
     name: str
     listen: tuple[str, int]
     seed: int
-    memory_limit: int  # bytes that the process may take
-    max_clients: int  # connections of clients at most
-    max_peers: int  # connections to peers at most
+    memory_limit: int  # bytes that the process may use
+    max_clients: int  # client connections
+    max_peers: int  # connections to peers
     discovery_address: tuple[str, int]
     last_seq: int
     initial_events: tuple[DiscoveryEvent, ...]
@@ -45,23 +48,23 @@
     links: NetworkSettings
     log_level: str
     log_format: str
-    trace_mode: str  # which pulls' trails are logged: off, wrong, all
-    operator_file: Path | None  # the operator's file
-    # The settings as they were given: what the operator's file is checked against.
+    trace_mode: str  # which pulls' traces are logged: off, wrong or all
+    operator_file: Path | None
+    # The settings as given, against which the operator's file is checked.
     raw_settings: dict[str, Any]
 
     def needs_restart(self, new: "Config") -> list[str]:
-        """Tell the keys in which a new configuration differs and that are read at the start only."""
+        """Return the keys that differ in a new configuration and take effect only at a restart."""
         keys = ("name", "listen", "seed", "settings", "names", "links")
         changed = [key for key in keys if getattr(self, key) != getattr(new, key)]
         return list(dict.fromkeys("settings" if key in ("names", "links") else key for key in changed))
 
 
 def read_config() -> Config:
-    """Read the file that the environment names; what is wrong is `FieldError`, and its text names the key."""
+    """Read the file named by the environment; raise FieldError naming the key if something is invalid."""
     path = os.environ.get(CONFIG_VARIABLE, "")
     if not path:
-        raise FieldError(f"{CONFIG_VARIABLE}: not set; it names the configuration's file")
+        raise FieldError(f"{CONFIG_VARIABLE}: not set; it must name the configuration file")
     try:
         with open(path, "rb") as file:
             raw = json.loads(file.read())
@@ -73,7 +76,7 @@
 
 
 def decode(top: Section, environment: Section) -> Config:
-    """Check and decode the configuration."""
+    """Check and decode the configuration and the environment variables."""
     limits, initial_list, settings = top.section("limits"), top.section("known"), top.section("settings")
     seed = top.text("seed")
     try:
--- a/cometseam/events.py
+++ b/cometseam/events.py
@@ -1,8 +1,8 @@
-"""The one vocabulary of what the program logs: each event by name, with level, text and typed fields.
+"""Defines all events that the program logs: each by name, with level, text and typed fields.
 
-`log_event` is the only way to the log. Text lines are for people; with `COMETSEAM_LOG_FORMAT=json` or `--log-
-format json` each line is one JSON object with `time` (ISO 8601, UTC), `level`, `event` and the event's
-fields.
+`log_event` is the only way to write to the log. Text lines are for people; with `COMETSEAM_LOG_FORMAT=json`
+or `--log-format json` each line is one JSON object with `time` (ISO 8601, UTC), `level`, `event` and the
+event's fields.
 """
 
 import json
@@ -15,11 +15,11 @@
 
 from cometseam.counters import COUNTERS
 
-RATE_LIMIT_WINDOW_S = 1.0  # s in which one event that others cause at will is logged once; all are counted
+RATE_LIMIT_WINDOW_S = 1.0  # a rate-limited event is logged once in this time; the rest are counted
 
 
 class EventSpec(NamedTuple):
-    """One kind of event: `rate_limited`, the other side may cause it at will."""
+    """Specification of an event; `rate_limited` is set where a peer may cause any number of them."""
 
     level: str
     text: str
@@ -28,41 +28,41 @@
 
 
 EVENTS: dict[str, EventSpec] = {
-    "actor.failed": EventSpec("ERROR", "a {kind} failed", {"kind": str}),
+    "actor.failed": EventSpec("ERROR", "handling a {kind} failed", {"kind": str}),
     "attempt.after_drain": EventSpec(
         "ERROR",
-        "request {request} is written to {endpoint} (source {source}), {after:.0f} ms after its drain",
+        "request {request} was written to {endpoint} (source {source}) {after:.0f} ms after its drain",
         {"request": str, "endpoint": str, "source": str, "after": float},
         True,
     ),
     "attempt.unconfirmed": EventSpec(
         "WARNING",
-        "request {request} is written to {endpoint}; the list is unconfirmed for {lasted:.0f} ms",
+        "request {request} was written to {endpoint}; endpoint list unconfirmed for {lasted:.0f} ms",
         {"request": str, "endpoint": str, "lasted": float},
         True,
     ),
     "changelog.applied": EventSpec(
         "INFO",
-        "the change log: event {seq}: {endpoints}; asked for {waited:.0f} ms before",
+        "discovery: applied event {seq}: {endpoints}; polled {waited:.0f} ms before",
         {"seq": int, "endpoints": str, "waited": float},
     ),
     "changelog.failed": EventSpec(
         "WARNING",
-        "the change log: {kind}: {why} ({phase}, {waited:.0f} ms, events after {since})",
+        "discovery: {kind}: {why} ({phase}, {waited:.0f} ms, events after {since})",
         {"kind": str, "why": str, "phase": str, "waited": float, "since": int},
         True,
     ),
     "changelog.passed_over": EventSpec(
-        "ERROR", "the change log: event {seq} is passed over: {why}", {"seq": int, "why": str}
+        "ERROR", "discovery: unusable event {seq} skipped, in part or whole: {why}", {"seq": int, "why": str}
     ),
     "client.ended": EventSpec(
         "INFO",
-        "a client's connection ended ({why}) with {pending} requests unanswered",
+        "client connection ended ({why}) with {pending} unanswered requests",
         {"why": str, "pending": int},
         True,
     ),
-    "client.failed": EventSpec("ERROR", "a client's connection failed", {}),
-    "client.not_accepted": EventSpec("WARNING", "a connection was not accepted: {why}", {"why": str}, True),
+    "client.failed": EventSpec("ERROR", "client connection failed", {}),
+    "client.not_accepted": EventSpec("WARNING", "could not accept a connection: {why}", {"why": str}, True),
     "client.unusable": EventSpec("WARNING", "a client sent what can't be used: {why}", {"why": str}, True),
     "config.faulty": EventSpec("ERROR", "configuration: {why}; the one that runs stays", {"why": str}),
     "config.needs_restart": EventSpec(
@@ -71,7 +71,7 @@
     "config.read": EventSpec("INFO", "configuration: read anew", {}),
     "discovery.confirmed": EventSpec(
         "INFO",
-        "discovery confirms the list, unconfirmed for {lasted:.0f} ms ({cause}); {sent} attempts meanwhile",
+        "discovery confirms the endpoints, unconfirmed for {lasted:.0f} ms ({cause}); {sent} attempts sent",
         {"cause": str, "lasted": float, "sent": int},
     ),
     "fleet.heard": EventSpec(
@@ -107,8 +107,8 @@
     "level.not_kept": EventSpec(
         "WARNING", "level of service: not kept or not found: {why}", {"why": str}, True
     ),
-    "module.failed": EventSpec("ERROR", "the module failed on a {kind}", {"kind": str}),
-    "module.says": EventSpec("INFO", "the module says: {text}", {"text": str}),
+    "module.failed": EventSpec("ERROR", "decision module failed on a {kind}", {"kind": str}),
+    "module.says": EventSpec("INFO", "decision module: {text}", {"text": str}),
     "operator.refused": EventSpec(
         "ERROR",
         "operator's file: {place}{path}{reason}; the one that runs stays",
@@ -126,31 +126,31 @@
     ),
     "peer.connection_ended": EventSpec(
         "INFO",
-        "{peer}: a connection ended ({why}) with {unanswered} attempts unanswered",
+        "{peer}: connection ended ({why}) with {unanswered} unanswered attempts",
         {"peer": str, "why": str, "unanswered": int},
         True,
     ),
-    "peer.connection_failed": EventSpec("ERROR", "{peer}: a connection failed", {"peer": str}),
+    "peer.connection_failed": EventSpec("ERROR", "{peer}: connection failed", {"peer": str}),
     "peer.counters": EventSpec(
         "INFO", "peer ({why}): {peer} {ends}", {"why": str, "peer": str, "ends": dict}
     ),
     "peer.local_failure": EventSpec(
-        "WARNING", "{peer}: no connection, for want of this machine: {why}", {"peer": str, "why": str}, True
+        "WARNING", "{peer}: no local resources to connect: {why}", {"peer": str, "why": str}, True
     ),
-    "peer.message_failed": EventSpec("ERROR", "{peer}: a message failed", {"peer": str}),
+    "peer.message_failed": EventSpec("ERROR", "{peer}: processing a message failed", {"peer": str}),
     "peer.not_connected": EventSpec("DEBUG", "{peer}: not connected: {why}", {"peer": str, "why": str}),
     "peer.unusable": EventSpec(
         "WARNING", "{peer} sent what can't be used: {why}", {"peer": str, "why": str}, True
     ),
-    "timer.failed": EventSpec("ERROR", "a timer failed", {}),
+    "timer.failed": EventSpec("ERROR", "timer callback failed", {}),
 }
-_logged: dict[str, float] = {}  # when an event that floods was last logged; as many as there are kinds
+_logged: dict[str, float] = {}  # when each rate-limited event was last logged, in monotonic seconds
 
 
 def log_event(event: str, error: BaseException | None = None, /, **fields: Any) -> None:
-    """Log an event with its fields; `error` adds where it was raised.
+    """Log an event with its fields; `error` adds its traceback.
 
-    Of what the other side may cause at will one line of a kind goes out in a while; the rest is counted.
+    A rate-limited event is logged once in `RATE_LIMIT_WINDOW_S`; the others are counted as `log.left_out`.
     """
     spec = EVENTS[event]
     assert fields.keys() == spec.fields.keys(), f"{event}: {sorted(fields)}"
@@ -192,7 +192,7 @@
 
 
 def configure_logging(level: str, log_format: str) -> None:
-    """Log to standard error from a level up, as `text` or `json`."""
+    """Log events from `level` up to standard error, in the format `text` or `json`."""
     logger.remove()
     if log_format == "json":
         logger.add(_write_json, level=level, format="{message}", backtrace=False, diagnose=False)
--- a/cometseam/json_section.py
+++ b/cometseam/json_section.py
@@ -1,4 +1,7 @@
-"""Reads nested mappings key by key; whatever is wrong is told with the path of its key."""
+"""Checked access to nested JSON objects; errors name the path of the key.
+
+In all methods a `default` of None means that the key is required.
+"""
 
 import math
 from collections.abc import Iterator
@@ -6,11 +9,11 @@
 
 
 class FieldError(ValueError):
-    """A key is missing, or its value is of the wrong type or out of range; the text names the key."""
+    """A key is missing, or its value has the wrong type or is out of range; the message names the key."""
 
 
 class Section:
-    """One mapping of a nested JSON text, and the path that led to it."""
+    """One object of a nested JSON document, and its path."""
 
     def __init__(self, values: Any, path: str = "") -> None:
         if not isinstance(values, dict):
@@ -19,7 +22,7 @@
         self.path = path
 
     def key_path(self, key: str) -> str:
-        """Return the path of a key."""
+        """Return the path of a key of this object."""
         return f"{self.path}.{key}" if self.path else key
 
     def _get(self, key: str, default: Any) -> Any:
@@ -30,37 +33,37 @@
         return default
 
     def section(self, key: str, default: dict[str, Any] | None = None) -> "Section":
-        """Return a mapping."""
+        """Return a nested object."""
         return Section(self._get(key, default), self.key_path(key))
 
     def sections(self, key: str) -> Iterator["Section"]:
-        """Yield the mappings of a list."""
+        """Yield the objects of a list."""
         for index, value in enumerate(self.list(key)):
             yield Section(value, f"{self.key_path(key)}[{index}]")
 
     def list(self, key: str, default: tuple[()] | None = None) -> Any:
-        """Return a list as it stands."""
+        """Return a list without checking its items."""
         value = self._get(key, default)
         if not isinstance(value, list | tuple):
             raise FieldError(f"{self.key_path(key)}: a list was expected, not {_abbreviate(value)}")
         return value
 
     def number(self, key: str, default: float | None = None, minimum: float = -math.inf) -> float:
-        """Return a finite number that is not below `minimum`."""
+        """Return a finite number of at least `minimum`."""
         return self._number(self.key_path(key), self._get(key, default), minimum)
 
     def integer(self, key: str, default: int | None = None, minimum: float = -math.inf) -> int:
-        """Return a whole number."""
+        """Return an integer of at least `minimum`."""
         value = self.number(key, default, minimum)
         if value != int(value):
             raise FieldError(f"{self.key_path(key)}: a whole number was expected, not {_abbreviate(value)}")
         return int(value)
 
     def numbers(self, key: str) -> tuple[float, ...]:
-        """Return a list of numbers; absent: empty."""
+        """Return a list of numbers, empty if the key is absent."""
         values = self.list(key, ())
         return tuple(
-            self._number(f"{self.key_path(key)}[{place}]", value) for place, value in enumerate(values)
+            self._number(f"{self.key_path(key)}[{index}]", value) for index, value in enumerate(values)
         )
 
     def _number(self, path: str, value: Any, minimum: float = -math.inf) -> float:
@@ -71,38 +74,38 @@
         return float(value)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         value = self._get(key, default)
         if not isinstance(value, bool):
             raise FieldError(f"{self.key_path(key)}: true or false was expected, not {_abbreviate(value)}")
         return value
 
     def flags(self, key: str) -> tuple[bool, ...]:
-        """Return a list of flags; absent: empty."""
+        """Return a list of booleans, empty if the key is absent."""
         values = self.list(key, ())
         if not all(isinstance(value, bool) for value in values):
-            raise FieldError(f"{self.key_path(key)}: true or false was expected in each place")
+            raise FieldError(f"{self.key_path(key)}: true or false was expected for each item")
         return tuple(values)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a text."""
+        """Return a string."""
         value = self._get(key, default)
         if not isinstance(value, str):
             raise FieldError(f"{self.key_path(key)}: a text was expected, not {_abbreviate(value)}")
         return value
 
     def one_of(self, key: str, choices: dict[str, Any], default: str | None = None) -> Any:
-        """Return what stands for one of the known words."""
+        """Return the value that `choices` maps the key's string to."""
         word = self.text(key, default)
         if word not in choices:
             raise FieldError(f"{self.key_path(key)}: {word!r} is none of {', '.join(choices)}")
         return choices[word]
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """Return a list of texts."""
+        """Return a list of strings."""
         values = self.list(key)
         if not all(isinstance(value, str) for value in values):
-            raise FieldError(f"{self.key_path(key)}: a text was expected in each place")
+            raise FieldError(f"{self.key_path(key)}: a text was expected for each item")
         return tuple(values)
 
 
--- a/cometseam/program.py
+++ b/cometseam/program.py
@@ -1,4 +1,4 @@
-"""Puts the parts together, and sees them through signals to the end."""
+"""Assembles and runs the front, from start through signals to shutdown."""
 
 import gc
 import signal
@@ -24,20 +24,23 @@
 from cometseam.transport.connection import LINGER_S
 from cometseam.transport.resources import LAG_SAMPLE_INTERVAL_MS, ProcessResources
 
-# By the protocol, after SIGTERM: new connections come for 400 ms and pulls on open ones for 200 ms more, by
-# clients' clocks; it is killed no sooner than 700 ms after the longest cut-off, of which 3 s count at most.
-# So the last pull has its whole time before what is owed is given up, and 100 ms are left to write that.
-LAST_PULL_AFTER_MS, KILL_GRACE_MS, MAX_COUNTED_DEADLINE_MS = 600.0, 700.0, 3000.0
+# By the protocol, after SIGTERM new connections arrive for 400 ms, and pulls on open connections for 200 ms
+# more, by the clients' clocks. The front is killed no sooner than 700 ms after the longest deadline, of which
+# at most 3 s count. So the last pull has its full time before unanswered pulls are given up, and 100 ms
+# remain to write those answers.
+LAST_PULL_AFTER_MS = 600.0
+KILL_GRACE_MS = 700.0
+MAX_COUNTED_DEADLINE_MS = 3000.0
 Actor = Callable[[], Coroutine[Any, Any, None]]
-BUFFER_POOL_DIVISOR = 2  # of the memory that the interpreter leaves, what goes to buffers
-GC_THRESHOLD_OBJECTS = 20000  # objects made and not freed between two looks for cycles
-DRAIN_CHECK_INTERVAL_MS = 10.0  # ms between two looks at what is still owed
-MAX_LOGGED_FAULTS = 50  # of a file that are logged
+BUFFER_POOL_DIVISOR = 2  # the buffer pool gets the memory left by the interpreter, divided by this
+GC_THRESHOLD_OBJECTS = 20000  # net new objects between two runs of the garbage collector
+DRAIN_CHECK_INTERVAL_MS = 10.0  # interval for checking for unanswered pulls while draining
+MAX_LOGGED_FAULTS = 50  # logged faults per operator's file
 
 
 async def run(config: Config, compiled: CompiledConfig | None = None) -> None:
-    """Serve until SIGTERM, then answer what is owed and end; `compiled` is the operator's file."""
-    signals.install_handlers()  # from before anything listens: none may end what has taken a connection
+    """Serve until SIGTERM, then answer pending pulls and return; `compiled` is the operator's file."""
+    signals.install_handlers()  # before listening: no signal may end a front that has accepted a connection
     clock = Clock()
     timers = Timers(clock)
     interpreter_bytes = private_memory_bytes()
@@ -47,7 +50,7 @@
     tracer = Tracer(TraceMode(config.trace_mode), max_open=config.max_clients * MAX_OPEN_PULLS)
     router = Router(front, config.names, config.max_clients * MAX_OPEN_PULLS, resources, config.seed, tracer)
     listener = Listener(config.listen, config.max_clients, pool, clock, router, config.links.connect_timeout)
-    # Where buffers run short, a client that takes nothing for as long as a peer may take to connect goes.
+    # If buffers run short, clients are closed that have read nothing for as long as the connect timeout.
     pool.on_shortage = lambda: listener.close_stalled(config.links.connect_timeout)
     poll_policy = PollPolicy.for_drain_grace(config.links.drain_grace)
     confirmation_policy = ConfirmationPolicy.for_drain_grace(config.links.drain_grace)
@@ -62,7 +65,7 @@
     router.read_discovery, router.on_attempt_written = discovery.read_now, discovery.record_attempt
     resources.confirmation_wait, resources.on_resume = discovery.confirmation_wait, discovery.record_pause
     discovery.detect_process_pause = resources.detect_process_pause
-    # What is there now stays, and pulls leave next to nothing in cycles: looking for those often is waste.
+    # Existing objects stay, and pulls leave almost no reference cycles, so frequent collections are a waste.
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_OBJECTS)
@@ -75,7 +78,7 @@
             tasks.start_soon(actor)
         tasks.start_soon(listener.run, tasks)
         tasks.start_soon(listener.close_overdue, config.links.max_deadline)
-        resources.record_loop_lag(0.0)  # a stand-still before the first measurement shows as well
+        resources.record_loop_lag(0.0)  # so that a pause before the first measurement is detected too
         tasks.start_soon(_sample, clock, router)
         if fleet is not None:
             tasks.start_soon(fleet)
@@ -91,8 +94,8 @@
                 pool.resize((new_config.memory_limit - interpreter_bytes) // BUFFER_POOL_DIVISOR)
                 listener.max_clients, resources.max_connections = new_config.max_clients, new_config.max_peers
                 discovery.set_address(new_config.discovery_address)
-            # Its evaluation takes a while: what was asked for before is no longer wanted. It is checked
-            # against the settings that run: others need a restart.
+            # Evaluating the file takes a while, so a newer reload replaces a running one. The file is checked
+            # against the running settings, as new settings need a restart.
             reload_number = reloader.start_reload()
             if config.operator_file is not None:
                 tasks.start_soon(reloader.reload, reload_number, config.operator_file, config.raw_settings)
@@ -108,14 +111,17 @@
 def _fleet_member_task(
     config: Config, compiled: CompiledConfig | None, router: Router, discovery: DiscoveryClient
 ) -> Actor | None:
-    """Return the front's part in the fleet; None, with nothing imported, where the file names no service."""
+    """Return the task that makes this front a fleet member.
+
+    Returns None, without importing anything, if the operator's file configures no fleet.
+    """
     if compiled is None or compiled.fleet is None:
         return None
     from cometseam.coordination.fleet_member import FleetMember, boot_time
     from cometseam.operator.fleet import parse_fleet_config
 
-    def apply_verdict(heard: Any) -> None:
-        router.apply_verdict(heard.cache, heard.bad, heard.ttl, heard.age)
+    def apply_verdict(update: Any) -> None:
+        router.apply_verdict(update.cache, update.bad, update.ttl, update.age)
 
     fleet_config = parse_fleet_config(compiled.fleet)
     limit_sharing = None
@@ -151,7 +157,7 @@
 
 
 class OperatorFileReloader:
-    """Reads the operator's file anew beside what is served, one reading at a time."""
+    """Reloads the operator's file while the front serves, one reload at a time."""
 
     def __init__(self, router: Router, fleet: dict[str, Any] | None = None) -> None:
         self._router, self._fleet = router, fleet
@@ -159,16 +165,16 @@
         self._reload_number = 0
 
     def start_reload(self) -> int:
-        """Give up the reading that is under way: a newer one is wanted. Return the number of that one."""
+        """Cancel the reload in progress, if any, and return the number of a new one."""
         self._scope.cancel()
         self._reload_number += 1
         return self._reload_number
 
     async def reload(self, number: int, path: Path, raw_settings: dict[str, Any]) -> None:
-        """Read and check the file, and hand it over; a faulty one is logged, and the one that runs stays.
+        """Read, check and apply the file; if it is invalid, log its faults and keep the running one.
 
-        Cancelled, its child is ended and nothing is changed; nor is it where a newer reading was asked for
-        before this one began.
+        If this call is cancelled, the child process that evaluates the file is ended and nothing changes.
+        Nothing changes either if a newer reload was requested before this one began.
         """
         from cometseam.operator.load import load_for_front_async
 
@@ -182,7 +188,7 @@
                 for fault in refused.faults[:MAX_LOGGED_FAULTS]:
                     place, key = (f"{part}: " if part else "" for part in (fault.location, fault.path))
                     log_event("operator.refused", place=place, path=key, reason=fault.reason)
-            except Exception as error:  # whatever it is, the plans that run stay
+            except Exception as error:  # on any error the running plans stay
                 COUNTERS.add("operator.refused")
                 why = f"{type(error).__name__}: {error}"
                 log_event("operator.refused", place="", path=f"{path}: ", reason=why)
@@ -196,7 +202,7 @@
 
 
 def _reload_config(config: Config) -> Config | None:
-    """Read the configuration anew; a faulty one is logged, and the one that runs stays."""
+    """Reload the configuration; if it is invalid, log the error and return None: the running one stays."""
     try:
         new_config = read_config()
     except FieldError as error:
@@ -211,11 +217,11 @@
 
 
 async def _drain(config: Config, clock: Clock, router: Router, listener: Listener) -> None:
-    """See to it that all that has come is answered, and that the answers reach clients.
+    """Answer all pulls that have arrived and let the answers reach the clients.
 
-    It waits until nothing more can come and nothing is owed; at the last moment what still is has its answer
-    from the module, and what comes later is shed; then connections end, write side first. It ends sooner
-    where clients have gone; nothing is lost where it is killed inside the last step.
+    Waits until no more pulls can arrive and none is unanswered. At `answer_deadline` the decision module
+    answers the remaining pulls, and later ones are shed. Then connections are closed, write side first. It
+    returns earlier if the clients have left; if the process is killed during the last step, nothing is lost.
     """
     started_at, max_deadline = clock.now(), config.links.max_deadline
     answer_deadline = started_at + min(max_deadline, MAX_COUNTED_DEADLINE_MS) + LAST_PULL_AFTER_MS
@@ -225,14 +231,14 @@
         if now >= answer_deadline and not closing:
             closing = True
             router.begin_shutdown()
-        # What waits to be accepted, or to be read, has come: its client counts on an answer.
+        # Connections waiting to be accepted and unread pulls have arrived: their clients expect an answer.
         accepted = listener.accept()
         has_pending = router.has_unanswered or not all(client.is_drained for client in listener.clients)
-        # None: there was no place for what waits to be accepted; it has come all the same.
+        # None means that there was no room to accept a waiting connection, which has arrived nevertheless.
         if accepted is False and not has_pending and now >= started_at + KILL_GRACE_MS:
             break
         if now >= answer_deadline + max_deadline + KILL_GRACE_MS:
-            break  # a client that sends or takes nothing more: nobody waits for it
+            break  # the remaining clients neither send nor read any more
         await anyio.sleep(DRAIN_CHECK_INTERVAL_MS / 1000.0)
     listener.begin_shutdown()
     with anyio.move_on_after(2.0 * LINGER_S):
@@ -241,7 +247,7 @@
 
 
 async def _sample(clock: Clock, router: Router) -> None:
-    """Measure how late the loop comes to what is due, and have the module told."""
+    """Measure how late the event loop runs due timers, and report it to the router."""
     while True:
         for _ in range(20):
             expected_at = clock.now() + LAG_SAMPLE_INTERVAL_MS
--- a/cometseam/serving.py
+++ b/cometseam/serving.py
@@ -1,4 +1,4 @@
-"""Serves as a front: reads the configuration and the operator's file, then runs until SIGTERM."""
+"""The serve command: reads the configuration and the operator's file, then runs the front until SIGTERM."""
 
 import sys
 
@@ -12,7 +12,11 @@
 
 
 def serve() -> int:
-    """Run until SIGTERM; what can't be used of the configuration ends it with a line each and status 2."""
+    """Run until SIGTERM and return the exit status.
+
+    Status 2 means that the configuration or the operator's file is invalid, with one line on standard error
+    per fault; status 1 that a system call failed, as when the listening address is in use.
+    """
     compiled: CompiledConfig | None = None
     try:
         config = read_config()
--- a/cometseam/signals.py
+++ b/cometseam/signals.py
@@ -1,7 +1,7 @@
-"""The signals that the program follows, from its first line to its end: none is lost, none ends it by itself.
+"""Signal handling of the program, from its start to its end: no signal is lost, and none ends it by default.
 
-They are noted by handlers of this module alone. The event loop reads its own signals from a socket, and where
-that call fails for a moment (ENOMEM) it loses them: a front would not end at SIGTERM.
+Only the handlers of this module record signals. The event loop's own handling reads them from a socket and
+loses them if that call fails temporarily (ENOMEM): a front would not end at SIGTERM.
 """
 
 import signal
@@ -12,19 +12,19 @@
 import anyio
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)
-CHECK_INTERVAL_S = 0.02  # s between two looks for a signal
+CHECK_INTERVAL_S = 0.02  # interval for checking for received signals
 
 _received: deque[int] = deque()
 
 
 def install_handlers() -> None:
-    """Take note of signals from now on; called again it changes nothing."""
+    """Record signals from now on; further calls have no effect."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, _record_signal)
 
 
 async def received_signals() -> AsyncIterator[int]:
-    """Tell each signal that has come since `install_handlers`, in order, for ever."""
+    """Yield each signal received since `install_handlers`, in order, without end."""
     while True:
         while _received:
             yield _received.popleft()
