--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,7 +1,7 @@
-"""The wall clock is stepped under the running program, by seconds and by an hour, either way.
+"""Steps of the wall clock, by seconds and by an hour, forward and back, while the program runs.
 
-A `sitecustomize` on the path of the child takes the place of `time.time`, and writes down that it was
-called. Before, a step back stopped every timer, and a step forward ended every deadline at once.
+Guards against a step back that stops all timers, and a step forward that ends all deadlines at once. A
+`sitecustomize` module in the child process replaces `time.time` and records that it was called.
 """
 
 import os
@@ -21,8 +21,8 @@
 from tests.test_actors import LISTING
 
 pytestmark = pytest.mark.anyio
-STEPS = [-3600.0, -5.0, 5.0, 3600.0]
-COPY = "tag=4be0c1927d55a6f3,minted=1,why=cached"
+STEPS_S = [-3600.0, -5.0, 5.0, 3600.0]
+COPY_FIELDS = "tag=4be0c1927d55a6f3,minted=1,why=cached"
 SHIM = """
 import os, time
 _real, _path = time.time, os.environ["TEST_CLOCK"]
@@ -42,8 +42,8 @@
 
 
 @asynccontextmanager
-async def stepped(folder: Path) -> AsyncIterator[tuple[World, Path]]:
-    """The program under the shim, and the file that holds the step in seconds."""
+async def world_with_clock_step(folder: Path) -> AsyncIterator[tuple[World, Path]]:
+    """Run the program with the shim; yield it and the file that holds the step in seconds."""
     step = folder / "step"
     step.write_text("0")
     (folder / "sitecustomize.py").write_text(SHIM)
@@ -51,61 +51,61 @@
     environment = {"PYTHONPATH": paths, "TEST_CLOCK": str(step)}
     async with world(folder, environment=environment) as here:
         yield here, step
-    assert (folder / "step.called").exists()  # the shim acted
+    assert (folder / "step.called").exists()  # the shim was used
 
 
-@pytest.mark.parametrize("by", STEPS)
-async def test_a_request_in_flight_keeps_its_deadline_and_its_attempts_their_time(
-    by: float, tmp_path: Path
+@pytest.mark.parametrize("step_s", STEPS_S)
+async def test_request_in_flight_keeps_its_deadline_and_attempt_timeouts(
+    step_s: float, tmp_path: Path
 ) -> None:
-    async with stepped(tmp_path) as (here, step):
+    async with world_with_clock_step(tmp_path) as (here, step):
         caller, cache = await here.call(), here.caches["cache-1"]
-        began = time.monotonic()
+        started_at = time.monotonic()
         await caller.send(order(1, limit="2000"))
-        first = await cache.next()  # it is not answered: the attempt's own time is 200 ms and four sendings
-        step.write_text(str(by))
+        first = await cache.next()  # unanswered: the attempt's own timeout is 200 ms and four sends
+        step.write_text(str(step_s))
         with anyio.move_on_after(0.1):
             await caller.next()
             pytest.fail("answered at once")
         assert cache.asked == [first] or cache.asked[1].word == "REQ"
         with anyio.fail_after(2.5):
-            got = await caller.next()
-        assert got.type == 17 and time.monotonic() - began < 2.06
-        # At rest after the step, and on the same connection, which was not ended.
+            answer = await caller.next()
+        assert answer.type == 17 and time.monotonic() - started_at < 2.06
+        # The front still serves after the step, on the same connection.
         await caller.send(order(2, item="0" * 16))
         asked = await here.first()
         while asked.word != "REQ" or asked.id != f"{2:016x}":
             asked = await here.first()
-        await asked.answer("DONE", COPY, b"y")
+        await asked.answer("DONE", COPY_FIELDS, b"y")
         assert (await caller.next()).body == b"y"
 
 
-@pytest.mark.parametrize("by", STEPS)
-async def test_a_purge_stays_outstanding_and_an_end_takes_its_time(by: float, tmp_path: Path) -> None:
-    async with stepped(tmp_path) as (here, step):
+@pytest.mark.parametrize("step_s", STEPS_S)
+async def test_purge_and_shutdown_are_unaffected(step_s: float, tmp_path: Path) -> None:
+    async with world_with_clock_step(tmp_path) as (here, step):
         caller, cache = await here.call(), here.caches["cache-1"]
         here.tell(invalidate={"bucket": 17, "time": round(time.time() * 1000.0)})
         await here.polled_from(2)
-        step.write_text(str(by))
+        step.write_text(str(step_s))
         await anyio.sleep(0.2)
         await caller.send(order(1))
         asked = await cache.next()
         assert 100.0 < float(asked.fields["fresh"]) < 2000.0
         here.process.terminate()
         await here.logged(b"drains")
-        began = time.monotonic()
+        drain_started_at = time.monotonic()
         await anyio.sleep(0.1)
-        await asked.answer("DONE", COPY, b"y")
-        got = await caller.next()
-        while got.type != 17:
-            got = await caller.next()
-        assert got.body == b"y"  # it had its time
+        await asked.answer("DONE", COPY_FIELDS, b"y")
+        answer = await caller.next()
+        while answer.type != 17:
+            answer = await caller.next()
+        assert answer.body == b"y"  # it was not cut short
         with anyio.fail_after(5):
             await here.end()
-        assert 0.1 < time.monotonic() - began < 4.0
+        assert 0.1 < time.monotonic() - drain_started_at < 4.0
 
 
-def test_the_clock_reads_unix_time_once_and_goes_on_by_the_monotonic_one() -> None:
+def test_clock_reads_unix_time_once_and_then_follows_the_monotonic_clock() -> None:
     monotonic, unix = [100.0], [5000.0]
     clock = Clock(lambda: monotonic[0], lambda: unix[0])
     assert clock.now() == 5_000_000.0
@@ -113,37 +113,45 @@
     assert clock.now() == 5_001_000.0
 
 
-def line(stamp: float, name: str = "c") -> EndpointEntry:
-    return replace(LISTING.entries[0], name=name, ready_at=stamp)
+def entry_started_at(ready_at: float, name: str = "c") -> EndpointEntry:
+    return replace(LISTING.entries[0], name=name, ready_at=ready_at)
 
 
-@pytest.mark.parametrize("wrong_by", [-3_600_000.0, 3_600_000.0], ids=["an hour slow", "an hour fast"])
-def test_with_a_clock_that_is_wrong_a_start_in_the_news_is_believed_colder_and_a_purge_younger(
-    wrong_by: float,
+@pytest.mark.parametrize("clock_error_ms", [-3_600_000.0, 3_600_000.0], ids=["an hour slow", "an hour fast"])
+def test_wrong_clock_makes_a_start_later_and_a_purge_younger_within_the_limit(
+    clock_error_ms: float,
 ) -> None:
-    """The stamps are true; `now` is this machine's, as it was when the process started."""
+    """The events' time stamps are correct; `now` is this machine's clock, wrong since the process started."""
     true_now = 1e12
-    now, started = true_now + wrong_by, true_now - 3000.0
-    roster = EndpointTable()
-    told = roster.apply_listing(EndpointList(2, False, (line(started),)), now).entries[0].ready_at
-    assert now - MAX_LIVE_EVENT_AGE_MS <= told <= now and told >= min(
-        started + wrong_by - MAX_LIVE_EVENT_AGE_MS, now - MAX_LIVE_EVENT_AGE_MS
+    now, started = true_now + clock_error_ms, true_now - 3000.0
+    table = EndpointTable()
+    ready_at = (
+        table.apply_listing(EndpointList(2, False, (entry_started_at(started),)), now).entries[0].ready_at
     )
-    again = roster.apply_listing(EndpointList(3, False, (line(started),)), now + 5000.0).entries[0].ready_at
-    assert again == told  # one start is one instant
-    anew = (
-        roster.apply_listing(EndpointList(4, False, (line(started + 4000.0),)), now + 5000.0)
+    assert now - MAX_LIVE_EVENT_AGE_MS <= ready_at <= now and ready_at >= min(
+        started + clock_error_ms - MAX_LIVE_EVENT_AGE_MS, now - MAX_LIVE_EVENT_AGE_MS
+    )
+    ready_at_repeated = (
+        table.apply_listing(EndpointList(3, False, (entry_started_at(started),)), now + 5000.0)
+        .entries[0]
+        .ready_at
+    )
+    assert ready_at_repeated == ready_at  # the same start keeps its time
+    ready_at_restarted = (
+        table.apply_listing(EndpointList(4, False, (entry_started_at(started + 4000.0),)), now + 5000.0)
         .entries[0]
         .ready_at
     )
-    assert anew > told
+    assert ready_at_restarted > ready_at
     assert 0.0 <= purge_event(Purge(5, 7, 0, started), now).age <= MAX_LIVE_EVENT_AGE_MS
 
 
-def test_a_start_in_the_list_that_a_front_starts_with_keeps_its_age_and_none_lies_in_the_future() -> None:
-    roster, now = EndpointTable(), 1e12
-    listed = roster.apply_listing(
-        EndpointList(1, True, (line(now - 60_000.0), line(now + 60_000.0, "d"))), now, False
+def test_starts_in_the_initial_list_keep_their_age_and_never_lie_in_the_future() -> None:
+    table, now = EndpointTable(), 1e12
+    listed = table.apply_listing(
+        EndpointList(1, True, (entry_started_at(now - 60_000.0), entry_started_at(now + 60_000.0, "d"))),
+        now,
+        False,
     )
     assert [entry.ready_at for entry in listed.entries] == [now - 60_000.0, now]
     assert purge_event(Purge(2, 7, 0, now - 60_000.0), now, False).age == 60_000.0
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The vocabulary of the log: what the program says is known there, and nothing else is written."""
+"""The log events: each call uses a defined event with its fields, and nothing else writes to the log."""
 
 import ast
 from pathlib import Path
@@ -14,37 +14,40 @@
 SOURCES = sorted((Path(__file__).parent.parent / "cometseam").rglob("*.py"))
 
 
-def calls() -> list[tuple[str, ast.Call]]:
-    found = []
+def log_event_calls() -> list[tuple[str, ast.Call]]:
+    calls = []
     for path in SOURCES:
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "log_event":
-                found.append((path.name, node))
-    return found
+                calls.append((path.name, node))
+    return calls
 
 
-def test_each_call_names_a_known_event_with_just_its_fields() -> None:
-    said = set()
-    for where, call in calls():
+def test_each_log_event_call_uses_a_defined_event_and_its_fields() -> None:
+    used = set()
+    for file_name, call in log_event_calls():
         event = call.args[0]
-        assert isinstance(event, ast.Constant) and isinstance(event.value, str), where
-        said.add(event.value)
-        assert {word.arg for word in call.keywords} == EVENTS[event.value].fields.keys(), (where, event.value)
-    assert said == EVENTS.keys()  # and none is known that nobody says
+        assert isinstance(event, ast.Constant) and isinstance(event.value, str), file_name
+        used.add(event.value)
+        assert {keyword.arg for keyword in call.keywords} == EVENTS[event.value].fields.keys(), (
+            file_name,
+            event.value,
+        )
+    assert used == EVENTS.keys()  # and each defined event is used
 
 
-def test_nothing_else_writes_to_the_log() -> None:
-    users = [path.name for path in SOURCES if "loguru" in path.read_text()]
-    assert users == ["events.py"]
+def test_only_the_events_module_uses_loguru() -> None:
+    importers = [path.name for path in SOURCES if "loguru" in path.read_text()]
+    assert importers == ["events.py"]
 
 
 @pytest.mark.parametrize("name", sorted(EVENTS))
-def test_a_text_shows_all_fields_of_its_event(name: str) -> None:
-    known = EVENTS[name]
-    assert {field for _, field, _, _ in Formatter().parse(known.text) if field} == known.fields.keys()
+def test_event_text_contains_all_fields(name: str) -> None:
+    spec = EVENTS[name]
+    assert {field for _, field, _, _ in Formatter().parse(spec.text) if field} == spec.fields.keys()
 
 
-def test_a_flood_is_one_line_a_while_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rate_limited_event_is_logged_once_per_window_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     now = [100.0]
     monkeypatch.setattr("cometseam.events.time.monotonic", lambda: now[0])
     monkeypatch.setattr(events, "_logged", {})
@@ -67,7 +70,7 @@
     assert COUNTERS.counts["log.left_out"] - before == 4
 
 
-def test_a_field_of_another_type_or_name_is_a_fault_of_the_program() -> None:
+def test_wrong_field_type_or_name_raises() -> None:
     with pytest.raises(AssertionError):
         log_event("client.unusable", why=3)
     with pytest.raises(AssertionError):
--- a/tests/test_late_drain.py
+++ b/tests/test_late_drain.py
@@ -1,15 +1,9 @@
-"""Requests went to an endpoint for more than the grace after the front had been notified that it drains.
+"""Guards against requests to a draining endpoint after the grace, because a received event was lost.
 
-The front waited 2.0 s for the answer to a poll of discovery and then closed the connection, without a look
-at what lay unread on it. Where the answer had come in just then (discovery was slow, or the front itself had
-stood still, so that its timer ran first), the event went with the connection: the front had been notified and
-did not know. It learnt of the drain when a later poll was answered, and until then it sent on what clients
-asked for. With a front that stood still for 1.3 s around the end of its poll, 12 of 20 requests were written
-to the draining endpoint 1.309 s after the notification, and the log said
-
-    the change log: TimeoutError:  (asked, 2307 ms, events after 1)
-
-Where discovery takes longer than 2.0 s for each answer, every poll ended so and no event was ever taken in.
+The front waited 2.0 s for the answer to a poll, then closed the connection without reading its input. If the
+answer had just arrived (slow discovery, or a pause of the front), its event was lost until a later poll.
+After a pause of 1.3 s, 12 of 20 requests reached the draining endpoint 1.309 s after the notification;
+the log showed `TimeoutError` (2307 ms, events after 1). Answers slower than 2.0 s were never read at all.
 """
 
 import signal
@@ -28,10 +22,10 @@
 from tests.test_leaving import stands_still
 
 pytestmark = pytest.mark.anyio
-COPY = "tag=4be0c1927d55a6f3,minted=1,why=cached"
-GRACE = 0.55  # s after a notification: the settings' grace, and what sockets add
-KNOWN_BY = 7.0  # s after an event entered discovery, from when on it counts as known whether or not it came
-PATIENT = 4000.0  # ms: a target latency that lets requests go on although the front has stood still
+COPY_FIELDS = "tag=4be0c1927d55a6f3,minted=1,why=cached"
+GRACE_S = 0.55  # after a notification: the settings' grace, and an allowance for sockets
+KNOWN_WITHIN_S = 7.0  # after an event entered discovery; from then on the front must know it in any case
+LONG_TARGET_LATENCY_MS = 4000.0  # lets requests continue although the front was paused
 DRAINING = "cache-1"
 
 
@@ -42,28 +36,28 @@
 
 @dataclass
 class Scene:
-    """A front between scripted caches and a scripted discovery, and what reached each endpoint when."""
+    """A front with scripted caches and a scripted discovery, and when requests reached each endpoint."""
 
     here: World
     discovery: Discovery
     written: list[tuple[float, str, str]] = field(default_factory=list)  # time, endpoint, source of a fill
     served: int = 0
-    lacking: bool = False  # whether the caches hold nothing, so that requests go on as fills
-    fresh: dict[str, list[str]] = field(default_factory=dict)  # by request: the age that each attempt allows
+    caches_miss: bool = False  # whether the caches miss, so that fills follow
+    max_ages: dict[str, list[str]] = field(default_factory=dict)  # by request: the `fresh` of each attempt
 
     async def answer(self, cache: Cache) -> None:
-        """Answer all that a cache is asked, at once."""
+        """Answer each command to a cache immediately."""
         while True:
             asked: Asked = await cache.next()
             self.written.append((time.monotonic(), cache.name, asked.fields.get("via", "")))
-            self.fresh.setdefault(asked.id, []).append(asked.fields.get("fresh", "0"))
-            if self.lacking and "via" not in asked.fields:
+            self.max_ages.setdefault(asked.id, []).append(asked.fields.get("fresh", "0"))
+            if self.caches_miss and "via" not in asked.fields:
                 await asked.answer("LACK")
             else:
-                await asked.answer("DONE", COPY, b"x")
+                await asked.answer("DONE", COPY_FIELDS, b"x")
 
-    async def ask(self, every: float) -> None:
-        """Ask for another object each time, on one connection."""
+    async def send_requests(self, every: float) -> None:
+        """Send requests on one connection, each for another object."""
         caller, stream = await self.here.call(), 0
         while True:
             stream += 1
@@ -73,16 +67,16 @@
             await anyio.sleep(every)
 
     def purge(self) -> int:
-        """Tell that the group which all requests belong to is purged now; return the event's number."""
+        """Publish a purge of the group that all requests belong to; return the event's number."""
         return self.discovery.tell(invalidate={"bucket": 17, "time": round(time.time() * 1000.0)})
 
-    def late(self, since: float, endpoint: str = DRAINING) -> list[float]:
-        """Return how long after `since` requests reached the draining endpoint, or named it as source."""
+    def late_writes(self, since: float, endpoint: str = DRAINING) -> list[float]:
+        """Return how long after `since` requests reached `endpoint` or named it as the source of a fill."""
         return [at - since for at, name, source in self.written if endpoint in (name, source) and at > since]
 
 
 def request(stream: int, number: int, txn: int = 0) -> bytes:
-    """A request for the object of this number."""
+    """Return a request for the object with this number."""
     return order(stream, verb="grids", limit="6000", txn=f"{txn or number:016x}", item=f"{number:016x}")
 
 
@@ -91,13 +85,13 @@
     folder: Path, draining: bool = False, discovery: Discovery | None = None,
     before_start: Callable[[World], Awaitable[None]] | None = None,
 ) -> AsyncIterator[Scene]:  # fmt: skip
-    """The front among its stand-ins.
+    """Run a front with test doubles for its peers.
 
     Args:
         folder: for the front's configuration.
-        draining: whether it is started with a list in which an endpoint drains.
-        discovery: the stand-in for it; one that behaves well where there is none.
-        before_start: what happens after the front's configuration is written.
+        draining: whether an endpoint drains in the front's initial list.
+        discovery: test double of discovery; None for one that answers normally.
+        before_start: called after the front's configuration is written.
     """
     discovery = discovery or Discovery()
 
@@ -106,11 +100,11 @@
             here.config["known"] = {**here.config["known"], "seq": 2}
             listed = {"index": 2, "snapshot": False, "endpoints": [here.line(DRAINING, status="leaving")]}
             here.config["known"]["results"].append({"seq": 2, "fleet": listed})
-            discovery.tell(invalidate={"object": "f" * 16, "time": 1})  # event 2: known from the start
+            discovery.tell(invalidate={"object": "f" * 16, "time": 1})  # event 2 is in the initial list
         here.discover, here.news = discovery.serve, discovery.news
         if before_start is not None:
             here.before_start = lambda: before_start(here)
-        here.config["settings"]["grades"][0]["aim"] = PATIENT
+        here.config["settings"]["grades"][0]["aim"] = LONG_TARGET_LATENCY_MS
 
     start = world(folder, "cache-2", prepare=prepare, patience=30.0)
     async with start as here, anyio.create_task_group() as tasks:
@@ -121,123 +115,130 @@
         tasks.cancel_scope.cancel()
 
 
-async def next_poll(discovery: Discovery) -> None:
-    """Wait until the front polls anew, and has discovery hold the poll until something happens."""
-    had = len(discovery.polls)
-    await discovery.news.until(lambda: any(poll.hold > 1.0 for poll in discovery.polls[had:]))
+async def wait_for_held_poll(discovery: Discovery) -> None:
+    """Wait until the front sends a new long poll."""
+    polls_before = len(discovery.polls)
+    await discovery.news.until(lambda: any(poll.hold > 1.0 for poll in discovery.polls[polls_before:]))
 
 
-async def notified(discovery: Discovery, event: int) -> float:
-    """Wait until an answer that holds the event has been written whole; return when that was."""
+async def wait_until_notified(discovery: Discovery, event: int) -> float:
+    """Wait until an answer with the event has been written completely; return that time."""
     await discovery.news.until(lambda: discovery.notified_at(event) is not None)
     at = discovery.notified_at(event)
     assert at is not None
     return at
 
 
-async def stand_still(its: Scene, tell: Callable[[], int]) -> tuple[float, list[int]]:
-    """Stop the front past the end of its poll, notify it, and have 20 clients ask before it goes on.
+async def pause_front_past_poll(scene: Scene, send_event: Callable[[], int]) -> tuple[float, list[int]]:
+    """Pause the front past the end of its poll, send it an event, and send 20 requests before it continues.
 
-    Returns: when it was notified, and how the requests ended.
+    Returns:
+        The time at which the event was written to the front, and the result codes of the requests.
     """
-    here, discovery = its.here, its.discovery
+    here, discovery = scene.here, scene.discovery
     callers: list[Caller] = [await here.call() for _ in range(20)]
-    for number, caller in enumerate(callers, 1):  # connections to the caches are up
+    for number, caller in enumerate(callers, 1):  # establishes the connections to the caches
         await caller.send(request(1, number))
         assert (await caller.next()).code == 1
-    await next_poll(discovery)
+    await wait_for_held_poll(discovery)
     await anyio.sleep(1.0)
     poll = discovery.polls[-1]
     here.process.send_signal(signal.SIGSTOP)
     while not stands_still(here.process.pid):
         await anyio.sleep(0.001)
-    event = tell()
-    since = await notified(discovery, event)
-    await anyio.sleep(1.3)  # the poll's time runs out, and so does the grace
+    event = send_event()
+    notified_since = await wait_until_notified(discovery, event)
+    await anyio.sleep(1.3)  # both the poll's time and the grace end
     for number, caller in enumerate(callers, 1):
         await caller.send(request(2, number, txn=number + 100))
-    assert poll.told == event and time.monotonic() - poll.asked_at > 2.0  # what was to cross did
+    assert poll.told == event and time.monotonic() - poll.asked_at > 2.0  # the intended overlap occurred
     here.process.send_signal(signal.SIGCONT)
     codes = [(await caller.next()).code for caller in callers]
     assert codes.count(1) > 10, codes
-    return since, codes
+    return notified_since, codes
 
 
-async def test_a_drain_that_came_in_while_the_front_stood_still_past_its_poll_is_known_before_it_sends(
+async def test_drain_received_during_a_pause_is_applied_before_requests_are_sent(
     tmp_path: Path,
 ) -> None:
-    async with scene(tmp_path) as its:
-        since, _ = await stand_still(its, lambda: its.discovery.drain(its.here.line(DRAINING)))
-        assert {name for _, name, _ in its.written} >= {DRAINING, "cache-2"}
-        assert its.late(since) == []
+    async with scene(tmp_path) as front_scene:
+        since, _ = await pause_front_past_poll(
+            front_scene, lambda: front_scene.discovery.drain(front_scene.here.line(DRAINING))
+        )
+        assert {name for _, name, _ in front_scene.written} >= {DRAINING, "cache-2"}
+        assert front_scene.late_writes(since) == []
 
 
-async def test_a_drain_of_a_parent_that_came_in_the_same_way_is_known_before_a_fill_names_it(
+async def test_parent_drain_received_during_a_pause_is_applied_before_fills_are_sent(
     tmp_path: Path,
 ) -> None:
-    async with scene(tmp_path) as its:
-        its.lacking = True
-        since, _ = await stand_still(its, lambda: its.discovery.drain(its.here.line("parent-1")))
-        assert {source for _, _, source in its.written} >= {"parent-1", "origin-1"}
-        assert its.late(since, "parent-1") == []
-
-
-async def test_a_purge_that_came_in_the_same_way_bounds_the_age_of_what_is_sent_for(tmp_path: Path) -> None:
-    """The purge names the group that all requests of the test belong to."""
-    async with scene(tmp_path) as its:
-        await stand_still(its, its.purge)
-        after = {id: ages for id, ages in its.fresh.items() if int(id, 16) > 100}
+    async with scene(tmp_path) as front_scene:
+        front_scene.caches_miss = True
+        since, _ = await pause_front_past_poll(
+            front_scene, lambda: front_scene.discovery.drain(front_scene.here.line("parent-1"))
+        )
+        assert {source for _, _, source in front_scene.written} >= {"parent-1", "origin-1"}
+        assert front_scene.late_writes(since, "parent-1") == []
+
+
+async def test_purge_received_during_a_pause_limits_the_age_of_requested_copies(tmp_path: Path) -> None:
+    """The purge is for the group that all requests of the test belong to."""
+    async with scene(tmp_path) as front_scene:
+        await pause_front_past_poll(front_scene, front_scene.purge)
+        after = {id: ages for id, ages in front_scene.max_ages.items() if int(id, 16) > 100}
         assert len(after) > 10
         assert all(0.0 < float(age) < 2000.0 for ages in after.values() for age in ages), after
 
 
-async def test_an_endpoint_that_drains_in_the_list_of_the_start_is_never_sent_to(tmp_path: Path) -> None:
-    async with scene(tmp_path, draining=True) as its, anyio.create_task_group() as tasks:
-        tasks.start_soon(its.ask, 0.005)
-        while its.served < 100:
+async def test_endpoint_draining_in_the_initial_list_gets_no_requests(tmp_path: Path) -> None:
+    async with scene(tmp_path, draining=True) as front_scene, anyio.create_task_group() as tasks:
+        tasks.start_soon(front_scene.send_requests, 0.005)
+        while front_scene.served < 100:
             await anyio.sleep(0.01)
-        assert its.late(0.0) == [] and {name for _, name, _ in its.written} == {"cache-2"}
+        assert front_scene.late_writes(0.0) == [] and {name for _, name, _ in front_scene.written} == {
+            "cache-2"
+        }
         tasks.cancel_scope.cancel()
 
 
-async def test_a_drain_whose_answer_comes_just_after_a_poll_is_overdue_is_known_within_the_grace(
+async def test_drain_answered_just_after_the_poll_is_overdue_is_applied_within_the_grace(
     tmp_path: Path,
 ) -> None:
-    """Discovery is slow by 1.5 s: what happens 0.6 s into a poll is answered 2.1 s after that began."""
-    async with scene(tmp_path) as its, anyio.create_task_group() as tasks:
-        discovery = its.discovery
-        tasks.start_soon(its.ask, 0.01)
-        await next_poll(discovery)
+    """Discovery answers 1.5 s late: an event 0.6 s into a poll is answered 2.1 s after the poll began."""
+    async with scene(tmp_path) as front_scene, anyio.create_task_group() as tasks:
+        discovery = front_scene.discovery
+        tasks.start_soon(front_scene.send_requests, 0.01)
+        await wait_for_held_poll(discovery)
         discovery.delay = 1.5
         await anyio.sleep(0.6)
-        event = discovery.drain(its.here.line(DRAINING))
-        since = await notified(discovery, event)
+        event = discovery.drain(front_scene.here.line(DRAINING))
+        since = await wait_until_notified(discovery, event)
         poll = next(poll for poll in discovery.polls if poll.told >= event)
-        assert since - poll.asked_at > 2.0  # what was to cross did
-        had = its.served
+        assert since - poll.asked_at > 2.0  # the intended overlap occurred
+        served_before = front_scene.served
         await anyio.sleep(2.0)
-        assert its.served > had + 50
-        late = its.late(since + GRACE)
-        assert late == [], f"{len(late)} requests, the last {late[-1] + GRACE:.3f} s after the notification"
+        assert front_scene.served > served_before + 50
+        late = front_scene.late_writes(since + GRACE_S)
+        assert late == [], f"{len(late)} requests, the last {late[-1] + GRACE_S:.3f} s after the notification"
         tasks.cancel_scope.cancel()
 
 
-async def test_a_drain_is_known_in_time_though_discovery_takes_longer_than_a_poll_for_each_answer(
+async def test_drain_is_applied_in_time_if_each_answer_takes_longer_than_a_poll(
     tmp_path: Path,
 ) -> None:
-    async with scene(tmp_path) as its, anyio.create_task_group() as tasks:
-        discovery: Any = its.discovery
-        tasks.start_soon(its.ask, 0.01)
-        await next_poll(discovery)
+    async with scene(tmp_path) as front_scene, anyio.create_task_group() as tasks:
+        discovery: Any = front_scene.discovery
+        tasks.start_soon(front_scene.send_requests, 0.01)
+        await wait_for_held_poll(discovery)
         discovery.delay = 2.5
-        event, since = discovery.drain(its.here.line(DRAINING)), time.monotonic()
+        event, since = discovery.drain(front_scene.here.line(DRAINING)), time.monotonic()
         assert event == 2
-        with anyio.move_on_after(KNOWN_BY + GRACE):
-            await its.here.logged(b"event 2")
-        had = its.served
+        with anyio.move_on_after(KNOWN_WITHIN_S + GRACE_S):
+            await front_scene.here.logged(b"event 2")
+        served_before = front_scene.served
         await anyio.sleep(1.0)
-        assert its.served > had + 25
-        late = its.late(since + KNOWN_BY + GRACE)
-        assert late == [], f"{len(late)} requests over {KNOWN_BY + GRACE} s after the event"
-        assert its.late(time.monotonic() - 0.5) == []
+        assert front_scene.served > served_before + 25
+        late = front_scene.late_writes(since + KNOWN_WITHIN_S + GRACE_S)
+        assert late == [], f"{len(late)} requests over {KNOWN_WITHIN_S + GRACE_S} s after the event"
+        assert front_scene.late_writes(time.monotonic() - 0.5) == []
         tasks.cancel_scope.cancel()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,7 +1,7 @@
-"""A front on a platform that starts no child process: the sealed form at the start, at SIGHUP and at SIGTERM.
+"""A front on a platform without child processes: a compiled operator's file at start, SIGHUP and SIGTERM.
 
-The program is started as the deploy file's `run` does, one process with `-O`, but under an audit hook that
-refuses what such a platform refuses (every way of starting a process or forking) with ENOSYS, and says so.
+The program is started as by the deploy file's `run`: one process with `-O`, but under an audit hook that logs
+and rejects every way of starting a process or forking with ENOSYS, as such a platform does.
 """
 
 import json
@@ -26,23 +26,23 @@
 from tests.test_operator import EXAMPLE
 
 pytestmark = pytest.mark.anyio
-COPY = "tag=4be0c1927d55a6f3,minted=1,why=cached"
+COPY_FIELDS = "tag=4be0c1927d55a6f3,minted=1,why=cached"
 TWO = "{ version: 1, default: { relays: 2, until: 'cut-off' } }"
-NO_CHILD = b"no child: "
+REFUSAL_PREFIX = b"no child: "
 
-# What the platform refuses, by the interpreter's audit events (PEP 578), refused as the platform does.
-HOOK = f"""
+# Rejects process starts, identified by the interpreter's audit events (PEP 578), as the platform does.
+REFUSING_MAIN = f"""
 import errno, os, sys
 STARTS = {{"os.fork", "os.forkpty", "os.posix_spawn", "os.spawn", "os.exec", "os.system", "subprocess.Popen"}}
 def refuse(event, args):
     if event in STARTS:
-        os.write(2, {NO_CHILD!r} + event.encode() + b"\\n")
+        os.write(2, {REFUSAL_PREFIX!r} + event.encode() + b"\\n")
         raise OSError(errno.ENOSYS, os.strerror(errno.ENOSYS))
 sys.addaudithook(refuse)
 from cometseam.__main__ import main
 sys.exit(main())
 """
-COMMAND = [sys.executable, "-O", "-c", HOOK]
+COMMAND = [sys.executable, "-O", "-c", REFUSING_MAIN]
 
 
 @pytest.fixture
@@ -51,7 +51,7 @@
 
 
 def sealed(path: Path, text: str | None = None) -> Path:
-    """Write the sealed form of a file (the example, or a text) checked against the sample's settings."""
+    """Write the compiled form of the example or of `text`, checked against the sample's settings."""
     source = EXAMPLE
     if text is not None:
         source = path.with_suffix(".jsonnet")
@@ -64,45 +64,47 @@
 
 
 def children(pid: int) -> list[str]:
-    """The processes that this one started and that are there now, by its threads' own lists."""
-    found = []
+    """Return the running child processes of a process, from the lists of its threads."""
+    pids = []
     for task in os.listdir(f"/proc/{pid}/task"):
         with suppress(FileNotFoundError), open(f"/proc/{pid}/task/{task}/children") as file:  # it has ended
-            found += file.read().split()
-    return found
+            pids += file.read().split()
+    return pids
 
 
 async def served(here: World, number: int) -> None:
-    """A pull goes to a stand-in cache and its answer comes back: the front serves."""
+    """Check that the front serves: a pull reaches a scripted cache and its answer comes back."""
     client = await here.call()
     await client.send(order(number))
     asked = await here.first()
-    await asked.answer("DONE", COPY, b"fine")
+    await asked.answer("DONE", COPY_FIELDS, b"fine")
     assert (await client.next()).body == b"fine"
 
 
-async def test_a_front_that_may_start_no_child_serves_reloads_and_stops_sealed(tmp_path: Path) -> None:
+async def test_front_without_child_processes_serves_reloads_and_stops_with_a_compiled_file(
+    tmp_path: Path,
+) -> None:
     path = sealed(tmp_path / "operator.json")
     with anyio.fail_after(60):
         async with world(tmp_path, operator=path, command=COMMAND) as here:
             pid = here.process.pid
             assert children(pid) == []
             await served(here, 1)
-            sealed(path, TWO)  # a new file, sealed: taken over at SIGHUP, in the front's own process
+            sealed(path, TWO)  # a new compiled file is loaded at SIGHUP, in the front's own process
             here.process.send_signal(signal.SIGHUP)
             await here.logged(b"operator's file: taken over, 2 routes")
             assert children(pid) == []
-            path.write_bytes(path.read_bytes()[:-40])  # torn: refused, and the plans that run stay
+            path.write_bytes(path.read_bytes()[:-40])  # truncated: rejected, and the running plans stay
             here.process.send_signal(signal.SIGHUP)
             await here.logged(b"; the one that runs stays")
             await served(here, 3)
             assert children(pid) == []
             counters = await here.stop()
-    assert NO_CHILD not in here.output, here.output.decode()
+    assert REFUSAL_PREFIX not in here.output, here.output.decode()
     assert counters["operator.taken"] == 1 and counters["operator.refused"] == 1
 
 
-async def test_a_jsonnet_file_where_no_child_may_start_is_refused_at_the_start_with_one_plain_line(
+async def test_jsonnet_file_without_child_processes_is_rejected_at_start_with_one_line(
     tmp_path: Path,
 ) -> None:
     config = tmp_path / "config.json"
@@ -111,40 +113,45 @@
     source.write_text(TWO)
     environment = {**os.environ, "ROUTER_CONFIG": str(config), "COMETSEAM_OPERATOR": str(source)}
     with anyio.fail_after(60):
-        done = await anyio.run_process(COMMAND, env=environment, check=False)
-    said = done.stderr.decode().splitlines()
-    assert done.returncode == 2, said
-    assert any(line.startswith(NO_CHILD.decode()) for line in said)  # it did try: the hook is what refused
-    told = [line for line in said if line.startswith("cometseam: COMETSEAM_OPERATOR")]
-    assert len(told) == 1 and "no child can be started here" in told[0] and "--seal" in told[0]
+        result = await anyio.run_process(COMMAND, env=environment, check=False)
+    lines = result.stderr.decode().splitlines()
+    assert result.returncode == 2, lines
+    # It tried to start a child, which the hook rejected.
+    assert any(line.startswith(REFUSAL_PREFIX.decode()) for line in lines)
+    error_lines = [line for line in lines if line.startswith("cometseam: COMETSEAM_OPERATOR")]
+    assert (
+        len(error_lines) == 1
+        and "no child can be started here" in error_lines[0]
+        and "--seal" in error_lines[0]
+    )
 
 
-def test_a_sealed_form_is_refused_torn_edited_of_other_settings_or_another_version(tmp_path: Path) -> None:
+def test_compiled_file_is_rejected_if_torn_edited_or_for_other_settings_or_version(tmp_path: Path) -> None:
     path = sealed(tmp_path / "operator.json")
     text = path.read_bytes()
     settings = SAMPLE["settings"]
     assert load_compiled_file(path, settings).digest == load(EXAMPLE, settings).compiled.digest
-    whole = json.loads(text)
+    document = json.loads(text)
     edited = json.loads(text)
     edited["compiled"]["names"][0] = "other"
-    other = json.loads(json.dumps(settings))
-    other["limits"] = {**other.get("limits", {}), "edited": 1}
-    wrong = {
+    other_settings = json.loads(json.dumps(settings))
+    other_settings["limits"] = {**other_settings.get("limits", {}), "edited": 1}
+    reason_by_content = {
         text[: len(text) // 2]: "its JSON can't be read",
         json.dumps(edited).encode(): "torn or edited",
-        json.dumps({**whole, "sealed": 2}).encode(): "another version",
-        json.dumps({**whole, "sealed": True}).encode(): "another version",
-        json.dumps({**whole, "more": 1}).encode(): "keys more missing or unknown",
+        json.dumps({**document, "sealed": 2}).encode(): "another version",
+        json.dumps({**document, "sealed": True}).encode(): "another version",
+        json.dumps({**document, "more": 1}).encode(): "keys more missing or unknown",
         b"[1]": "an object was expected",
         b'{"sealed": NaN}': "its JSON can't be read",
     }
-    for bad, reason in wrong.items():
-        with pytest.raises(OperatorFileError) as refused:
-            decode_compiled_file(bad, settings)
-        assert reason in str(refused.value), (bad[:60], refused.value)
+    for content, reason in reason_by_content.items():
+        with pytest.raises(OperatorFileError) as error:
+            decode_compiled_file(content, settings)
+        assert reason in str(error.value), (content[:60], error.value)
     with pytest.raises(OperatorFileError, match="other settings"):
-        decode_compiled_file(text, other)
-    big = tmp_path / "big.json"
-    big.write_bytes(b" " * 10 + text)
+        decode_compiled_file(text, other_settings)
+    large_file = tmp_path / "big.json"
+    large_file.write_bytes(b" " * 10 + text)
     with pytest.raises(OperatorFileError, match="larger than"):
-        read_bounded(big, max_bytes=len(text))
+        read_bounded(large_file, max_bytes=len(text))
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""The codecs alone: whatever way a stream is split it reads the same, and what is malformed is refused."""
+"""The codecs: a stream decodes the same however it is split, and malformed input is rejected."""
 
 import pytest
 
@@ -16,38 +16,43 @@
 
 
 def feed(decoder: Decoder, raw: bytes, size: int) -> list[frames.Frame | resp.Answer]:
-    """Feed a stream in pieces of a size."""
-    out: list[frames.Frame | resp.Answer] = []
-    for at in range(0, len(raw), size):
-        piece = memoryview(raw)[at : at + size]
-        assert decoder.feed(piece, out) == len(piece)  # type: ignore[arg-type]
-    return out
+    """Feed a stream in pieces of `size` bytes; return what was decoded."""
+    decoded: list[frames.Frame | resp.Answer] = []
+    for offset in range(0, len(raw), size):
+        piece = memoryview(raw)[offset : offset + size]
+        assert decoder.feed(piece, decoded) == len(piece)  # type: ignore[arg-type]
+    return decoded
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1000, BUFFER_SIZE_BYTES, 1 << 20])
-def test_frames_read_the_same_however_they_are_split(size: int) -> None:
+def test_frames_decode_the_same_for_any_split(size: int) -> None:
     pool = BufferPool(1 << 22)
     raw = order(1) + frame(18, 1) + order(2, BIG, got=TAG) + frame(32, 3) + order(4, b"small")
-    got = feed(frames.Decoder(pool.allocate), raw, size)
-    assert [(item.type, item.stream) for item in got if isinstance(item, frames.Frame)] == [
+    decoded = feed(frames.Decoder(pool.allocate), raw, size)
+    assert [(item.type, item.stream) for item in decoded if isinstance(item, frames.Frame)] == [
         (16, 1), (18, 1), (16, 2), (32, 3), (16, 4),
     ]  # fmt: skip
-    for item, body in zip((got[0], got[2], got[4]), (b"", BIG, b"small"), strict=True):
+    for item, body in zip((decoded[0], decoded[2], decoded[4]), (b"", BIG, b"small"), strict=True):
         assert isinstance(item, frames.Frame)
-        read = frames.read_pull_request(item)
-        assert b"".join(read.body()) == body and read.held_tag == (TAG if body is BIG else "")
-        assert (read.workload, read.object, read.part, read.group) == ("maps", "7f3a9c21e0b4d655", 3, 17)
+        request = frames.read_pull_request(item)
+        assert b"".join(request.body()) == body and request.held_tag == (TAG if body is BIG else "")
+        assert (request.workload, request.object, request.part, request.group) == (
+            "maps",
+            "7f3a9c21e0b4d655",
+            3,
+            17,
+        )
         item.free()
     assert pool.in_use == 0
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1000, BUFFER_SIZE_BYTES, 1 << 20])
-def test_answers_read_the_same_however_they_are_split(size: int) -> None:
+def test_answers_decode_the_same_for_any_split(size: int) -> None:
     pool = BufferPool(1 << 22)
     raw = array("a1", "LACK", "why=merged,rep=util:0.5;x1:-0.1", b"") + array("alive", "FIT")
     raw += array("a2", "DONE", f"tag={TAG},minted=1,why=fetched,lag=2.5", BIG) + array("a3", "WAIT", "-")
-    got = feed(resp.Decoder(pool.allocate), raw, size)
-    lack, fit, done, wait = (item for item in got if isinstance(item, resp.Answer))
+    decoded = feed(resp.Decoder(pool.allocate), raw, size)
+    lack, fit, done, wait = (item for item in decoded if isinstance(item, resp.Answer))
     assert (lack.id, lack.outcome, lack.remark) == ("a1", Outcome.MISS, Remark.JOINED)
     assert lack.load == {"util": 0.5, "x1": -0.1} and fit.word == resp.HELLO_REPLY
     assert (done.outcome, done.remark, done.waited) == (Outcome.OK, Remark.FILLED, 2.5)
@@ -68,7 +73,7 @@
         b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$900000\r\n", b"*4\r\n$8100\r\n" + b"a" * 8200,
     ],
 )  # fmt: skip
-def test_answers_that_cannot_be_read_are_refused_and_keep_nothing(raw: bytes) -> None:
+def test_malformed_answers_are_rejected_and_release_their_buffers(raw: bytes) -> None:
     pool = BufferPool(1 << 22)
     decoder = resp.Decoder(pool.allocate)
     with pytest.raises(ProtocolError):
@@ -78,67 +83,73 @@
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 0xFFFFFFFF])
-def test_frames_of_a_length_out_of_bounds_are_refused(length: int) -> None:
+def test_frames_with_invalid_length_are_rejected(length: int) -> None:
     with pytest.raises(ProtocolError):
         feed(frames.Decoder(BufferPool(1 << 22).allocate), length.to_bytes(4, "big") + bytes(5), 3)
 
 
-def test_where_no_room_is_left_a_decoder_takes_no_more_and_goes_on_later() -> None:
-    pool = BufferPool(1)  # the least: two of the largest messages
+def test_decoder_stops_without_buffers_and_continues_once_one_is_freed() -> None:
+    pool = BufferPool(1)  # the pool's minimum holds two messages of the maximum size
     first, second = pool.allocate(8 * BUFFER_SIZE_BYTES), pool.allocate(8 * BUFFER_SIZE_BYTES)
     assert isinstance(first, MessageBuffer) and isinstance(second, MessageBuffer) and pool.allocate(1) is None
     raw = array("a", "DONE", "-", BIG)
-    decoder, out = resp.Decoder(pool.allocate), list[resp.Answer]()
-    taken = decoder.feed(memoryview(raw), out)
-    assert taken < 100 and decoder.feed(memoryview(raw)[taken:], out) == 0 and not out
+    decoder, answers = resp.Decoder(pool.allocate), list[resp.Answer]()
+    consumed = decoder.feed(memoryview(raw), answers)
+    assert consumed < 100 and decoder.feed(memoryview(raw)[consumed:], answers) == 0 and not answers
     first.free()
-    assert decoder.feed(memoryview(raw)[taken:], out) == len(raw) - taken
-    assert out[0].body is not None and b"".join(out[0].body.views()) == BIG
+    assert decoder.feed(memoryview(raw)[consumed:], answers) == len(raw) - consumed
+    assert answers[0].body is not None and b"".join(answers[0].body.views()) == BIG
     with pytest.raises(AssertionError):
         first.free()
 
 
-def test_an_answer_that_nobody_wants_any_more_is_passed_over() -> None:
+def test_discarded_answer_releases_its_buffer_and_its_rest_is_skipped() -> None:
     pool = BufferPool(1 << 22)
-    raw, out = array("a", "DONE", "-", BIG) + array("b", "PAST", "-", b""), list[resp.Answer]()
+    raw, answers = array("a", "DONE", "-", BIG) + array("b", "PAST", "-", b""), list[resp.Answer]()
     decoder = resp.Decoder(pool.allocate)
-    decoder.feed(memoryview(raw)[:1000], out)
+    decoder.feed(memoryview(raw)[:1000], answers)
     assert pool.in_use == 3
     decoder.discard("a")
     assert pool.in_use == 0
-    decoder.feed(memoryview(raw)[1000:], out)
-    assert [(answer.id, answer.outcome) for answer in out] == [("a", Outcome.OK), ("b", Outcome.NOT_SENT)]
+    decoder.feed(memoryview(raw)[1000:], answers)
+    assert [(answer.id, answer.outcome) for answer in answers] == [("a", Outcome.OK), ("b", Outcome.NOT_SENT)]
 
 
-def test_a_relay_is_written_as_the_protocol_says() -> None:
+def test_relays_are_encoded_as_the_protocol_specifies() -> None:
     command = resp.Command("9b", "maps", "7f", 3, "parent-1", 2, 1999.9, True, True, True, True, TAG)
     fields = "lane=maps,name=7f,piece=3,ttl=1500,via=parent-1,tier=2,fresh=1999,"
     fields += f"opts=ride+have-only+through+update,known={TAG}"
     assert resp.write_request(command, 1500.4, 4) + b"body\r\n" == array("REQ", "9b", fields, b"body")
-    bare = resp.Command("9b", "maps", "7f", 0, "", 0, 0.0, False, False, False, False, "")
-    least = array("REQ", "9b", "lane=maps,name=7f,piece=0,ttl=1", b"")
-    assert resp.write_request(bare, 0.2, 0) + b"\r\n" == least
+    minimal = resp.Command("9b", "maps", "7f", 0, "", 0, 0.0, False, False, False, False, "")
+    minimal_encoded = array("REQ", "9b", "lane=maps,name=7f,piece=0,ttl=1", b"")
+    assert resp.write_request(minimal, 0.2, 0) + b"\r\n" == minimal_encoded
     assert resp.write_stop("9b") == array("STOP", "9b") and resp.write_hello("t") == array("HELO", "t")
 
 
-def test_events_of_the_change_log_are_read_each_for_itself() -> None:
+def test_invalid_discovery_events_do_not_affect_the_others() -> None:
     names = NameTables(("maps",), ("north", "middle", "edge-1"), ("standard", "parent", "origin"), ())
-    line = SAMPLE["known"]["results"][0]["fleet"]["endpoints"][0]
-
-    def fleet(seq: int, **changed: object) -> dict[str, object]:
-        return {"seq": seq, "fleet": {"snapshot": False, "endpoints": [{**line, **changed}]}}
-
-    odd = [fleet(2, zone="x"), fleet(3, type="x"), fleet(4, status="x"), fleet(5, address="x"),
-           fleet(6, weight="x"), {"seq": 7, "invalidate": {"object": "x", "time": 1}},
-           {"seq": 8, "invalidate": {"time": 1}}]  # fmt: skip
-    good = [{"seq": 9, "invalidate": {"bucket": 17, "time": 5}}, fleet(1)]
-    told = discovery_events.read_events(Section({"seq": 9, "results": [*odd, *good]}), names)
-    assert [change.seq for change in told] == list(range(1, 10))
-    assert isinstance(told[0], discovery_events.EndpointList) and (
-        told[0].entries[0].zone,
-        told[0].entries[0].kind,
+    entry = SAMPLE["known"]["results"][0]["fleet"]["endpoints"][0]
+
+    def list_event(seq: int, **changed: object) -> dict[str, object]:
+        return {"seq": seq, "fleet": {"snapshot": False, "endpoints": [{**entry, **changed}]}}
+
+    invalid = [
+        list_event(2, zone="x"),
+        list_event(3, type="x"),
+        list_event(4, status="x"),
+        list_event(5, address="x"),
+        list_event(6, weight="x"),
+        {"seq": 7, "invalidate": {"object": "x", "time": 1}},
+        {"seq": 8, "invalidate": {"time": 1}},
+    ]
+    valid = [{"seq": 9, "invalidate": {"bucket": 17, "time": 5}}, list_event(1)]
+    events = discovery_events.read_events(Section({"seq": 9, "results": [*invalid, *valid]}), names)
+    assert [event.seq for event in events] == list(range(1, 10))
+    assert isinstance(events[0], discovery_events.EndpointList) and (
+        events[0].entries[0].zone,
+        events[0].entries[0].kind,
     ) == (2, 0)
-    assert all(isinstance(change, discovery_events.UnusableEvent) for change in told[1:8])
-    assert told[8] == discovery_events.Purge(9, 0, 17, 5.0)
+    assert all(isinstance(event, discovery_events.UnusableEvent) for event in events[1:8])
+    assert events[8] == discovery_events.Purge(9, 0, 17, 5.0)
     with pytest.raises(FieldError, match="results"):
         discovery_events.read_events(Section({"seq": 1}), names)
--- a/tests/test_startup_signals.py
+++ b/tests/test_startup_signals.py
@@ -1,4 +1,4 @@
-"""A SIGHUP that came while a front started ended it: nothing held the signal until its sockets were made."""
+"""Guards against a SIGHUP during startup that ends the front, as no handler was installed yet."""
 
 import json
 import os
@@ -18,22 +18,22 @@
     return "asyncio"
 
 
-async def test_a_signal_while_the_configuration_is_read_ends_nothing_and_has_it_read_anew(
+async def test_signals_during_startup_are_handled_once_the_front_runs(
     tmp_path: Path,
 ) -> None:
-    """The configuration is a FIFO: the front waits in its start until the test has sent the signals."""
+    """The configuration is a FIFO, so the front's startup blocks until the test has sent the signals."""
 
     def prepare(here: World) -> None:
-        async def fifo() -> None:
+        async def replace_config_by_fifo() -> None:
             text = json.dumps(here.config)
             here.path.unlink()
             os.mkfifo(here.path)
-            here._tasks.start_soon(feed, text)
+            here._tasks.start_soon(write_config, text)
 
-        async def feed(text: str) -> None:
-            for is_start in (True, False):  # each opening waits until the front reads
+        async def write_config(text: str) -> None:
+            for is_start in (True, False):  # each open blocks until the front reads
                 if not is_start:
-                    await here.logged(b"listens")  # it has read the first to its end
+                    await here.logged(b"listens")  # the first read is complete
                 with await anyio.to_thread.run_sync(open, here.path, "w", abandon_on_cancel=True) as file:
                     if is_start:
                         here.process.send_signal(signal.SIGUSR1)
@@ -41,7 +41,7 @@
                         await anyio.sleep(0.05)
                     file.write(text)
 
-        here.before_start = fifo
+        here.before_start = replace_config_by_fifo
 
     async with world(tmp_path, prepare=prepare) as here:
         await here.logged(b"counters (asked)")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: the page's own batch is read, and malformed input ends with one plain message and no reply."""
+"""The simulator's protocol: the specification's example batch decodes, and malformed input gets no reply."""
 
 import io
 import struct
@@ -17,7 +17,7 @@
 )
 
 
-def test_a_batch_is_read_and_a_reply_written() -> None:
+def test_batch_is_decoded_and_reply_encoded() -> None:
     frame = read_frame(io.BytesIO(BATCH))
     assert frame is not None and frame[0] == 8412.25
     assert list(read_records(frame[1])) == [
@@ -47,7 +47,7 @@
     ],
     ids=["header", "short", "record", "clock", "short-field", "over-long", "nobody", "settings"],
 )  # fmt: skip
-def test_malformed_input_gets_no_reply(raw: bytes) -> None:
+def test_malformed_input_raises_and_gets_no_reply(raw: bytes) -> None:
     sink = io.BytesIO()
     with pytest.raises(WireFormatError):
         serve(io.BytesIO(raw), sink)
