--- a/cometseam/protocol/frames.py
+++ b/cometseam/protocol/frames.py
@@ -76,7 +76,7 @@
                     break
             length, kind, stream = FRAME_HEAD.unpack(self._head)
             if not COUNTED_HEAD_BYTES <= length <= MAX_FRAME_LENGTH:
-                raise ProtocolError(f"frame length out of range: {length} bytes")
+                raise ProtocolError(f"a frame of {length} bytes")
             size = length - COUNTED_HEAD_BYTES
             if self._body is None:
                 if size <= len(data) - offset:
@@ -117,9 +117,9 @@
             size = payload[end] << 8 | payload[end + 1]
             offset = end + 2 + size
             if offset > len(payload):
-                raise ProtocolError("fields: the payload ends inside a field")
+                raise ProtocolError("fields: the payload ends inside them")
             if name in fields:
-                raise ProtocolError("fields: a name occurs twice")
+                raise ProtocolError("fields: one comes twice")
             fields[name] = payload[end + 2 : offset].decode()
     except (IndexError, UnicodeDecodeError) as error:
         raise ProtocolError(f"fields: {error}") from error
@@ -184,7 +184,7 @@
     def number(name: str, minimum: float, maximum: float, pattern: re.Pattern[str] = NUMBER_PATTERN) -> float:
         text = fields.get(name, "")
         if not pattern.fullmatch(text):
-            raise ProtocolError(f"{name}: missing or not a valid number")
+            raise ProtocolError(f"{name}: missing or not a number of its kind")
         value = float(text)
         if not minimum <= value <= maximum:
             raise ProtocolError(f"{name}: out of range")
@@ -202,7 +202,7 @@
     def read_idempotency_key() -> str:
         value = fields.get("unique", "")
         if not IDEMPOTENCY_KEY_PATTERN.fullmatch(value):  # it is forwarded as one field of a command
-            raise ProtocolError("unique: not a key that can be forwarded")
+            raise ProtocolError("unique: not a mark that can be passed on")
         return value
 
     return PullRequest(
