--- a/cometseam/timing/__init__.py
+++ b/cometseam/timing/__init__.py
@@ -1,9 +1,10 @@
-"""What the operator sets for routes: which plan a pull gets, its times, its waits and its budgets. No I/O.
+"""What an operator's plan sets for a pull: timeouts, retry waits, hedge delays and retry budgets. No I/O.
 
-The module (`cometseam.logic`) takes every decision on a pull; it asks here what the plan says. Public:
-`ActivePlans` and the functions of `retry_policy` for the module, `RouteTable` and `RouteKey` for the door
-that takes pulls in, and, not imported from here since serving needs none of it, `routes` (what a route
-matches), `tree_builder` (the tree that finds it) and `validate` (whether a plan keeps the rules).
+A pull is a client's request; a relay is one attempt of it. The decision module (`cometseam.logic`) makes
+every decision on a pull and asks here what the pull's plan says. Public: `ActivePlans` and the functions of
+`retry_policy` for that module, and `RouteTable` and `RouteKey` for the code that receives pulls. Not imported
+here, since serving does not need them: `intervals` (what a route matches), `tree_builder` (the search trees
+over the routes) and `validate` (whether a plan keeps the rules).
 """
 
 from cometseam.timing.capacity_share import CapacityShare
--- a/cometseam/timing/capacity_share.py
+++ b/cometseam/timing/capacity_share.py
@@ -1,52 +1,56 @@
-"""This front's part of one shared limit, as its decisions hold it; without I/O.
+"""This front's share of a limit that the fronts of a fleet divide among them. No I/O.
 
-Apart from `cometseam.limits`, which shares out and which a front without a fleet does not import.
+Separate from `cometseam.limits`, which divides the limits and which a front without a fleet does not import.
 """
 
-FALL = 0.8  # of the last wish that is left at most one ask later
+DEMAND_DECAY = 0.8  # a reported demand is at least this share of the last one
 
 
 class CapacityShare:
-    """A part that was granted for a time, then the lesser of that and an equal part (0 to 1; times in ms).
+    """A share that was leased for a time, and after that the lesser of it and an equal share.
 
-    What is granted to nobody else stays the equal part's: without any grant a front goes by that. Empties
-    itself: one number and its end, whatever was granted before.
+    Shares are 0 to 1, times are in ms. Capacity that is leased to no front covers the equal shares, so a
+    front that has never had a lease uses its equal share. Only the latest lease and its end are stored.
     """
 
     __slots__ = ("equal_share", "last_demand", "leased_share", "leased_until", "peak_used", "rejected")
 
-    def __init__(self, equal: float) -> None:
-        """`equal`: what each front has where nobody shares the limit out."""
-        self.equal_share, self.leased_share, self.leased_until = equal, float("inf"), 0.0
-        self.rejected, self.peak_used = 0, 0.0  # sends barred, and the most used, since this was last asked
-        self.last_demand = 0.0  # by the last ask; see `smooth_demand`
+    def __init__(self, equal_share: float) -> None:
+        """Start without a lease; `equal_share`: the share of each front when nobody divides the limit."""
+        self.equal_share, self.leased_share, self.leased_until = equal_share, float("inf"), 0.0
+        self.rejected, self.peak_used = 0, 0.0  # rejected sends and the largest use since `reset_usage`
+        self.last_demand = 0.0  # the last result of `smooth_demand`
 
-    def apply_lease(self, part: float, lasts: float, now: float) -> None:
-        """Take a grant in. Never 0: what divides by a part, or reads 0 as no limit, must not be misled."""
-        self.leased_share, self.leased_until = max(part, 1e-9), now + lasts
+    def apply_lease(self, share: float, ttl: float, now: float) -> None:
+        """Apply a lease of `share` for `ttl` ms.
+
+        The share is never 0, which callers would divide by or read as "no limit".
+        """
+        self.leased_share, self.leased_until = max(share, 1e-9), now + ttl
 
     def share_at(self, now: float) -> float:
-        """Tell the part that this front may use."""
+        """Return the share that this front may use."""
         return self.leased_share if now < self.leased_until else min(self.leased_share, self.equal_share)
 
-    def fits(self, used: float, whole: float, now: float) -> bool:
-        """Tell whether this front may use so much of a limit; what was barred counts for its wish."""
-        well = used <= whole * self.share_at(now)
-        self.rejected += not well
-        self.peak_used = max(self.peak_used, used) if well else self.peak_used
-        return well
+    def fits(self, used: float, limit: float, now: float) -> bool:
+        """Return whether this front may use `used` of `limit`; a rejection counts towards its demand."""
+        is_within = used <= limit * self.share_at(now)
+        self.rejected += not is_within
+        self.peak_used = max(self.peak_used, used) if is_within else self.peak_used
+        return is_within
 
-    def smooth_demand(self, wish: float) -> float:
-        """Return what to wish for: it rises at once and falls by a fifth an ask.
+    def smooth_demand(self, demand: float) -> float:
+        """Return the demand to report: it rises at once and falls by at most a fifth per report.
 
-        What a front gives up weighs for a window before anybody else has it, so a wish that follows each
-        moment's use ties up the difference; and one that vanishes sets the front back to its equal part.
+        Capacity that a front gives up stays reserved for a window before another front can use it, so a
+        demand that followed every short-term change would leave the difference unused. A demand that dropped
+        to nothing would put the front back on its equal share.
         """
-        self.last_demand = max(wish, FALL * self.last_demand)
+        self.last_demand = max(demand, DEMAND_DECAY * self.last_demand)
         return self.last_demand
 
     def reset_usage(self) -> tuple[bool, float]:
-        """Return whether sends were barred and the most that was used since the last call; forget both."""
-        told = self.rejected > 0, self.peak_used
+        """Return whether sends were rejected and the largest use since the last call, and reset both."""
+        usage = self.rejected > 0, self.peak_used
         self.rejected, self.peak_used = 0, 0.0
-        return told
+        return usage
--- a/cometseam/timing/intervals.py
+++ b/cometseam/timing/intervals.py
@@ -1,7 +1,7 @@
-"""Sets of whole numbers as intervals in order and apart, and products of them by axis. No I/O.
+"""Sets of integers as sorted, disjoint intervals, and boxes of one such set per axis. No I/O.
 
-A `Box` (see `table`) matches where each of its axes holds the pull's value. Differences of boxes tell
-whether earlier routes leave anything to a later one.
+A `Box` (see `table`) matches a pull if the set of each axis contains the pull's value. Differences of boxes
+show whether earlier routes leave a later one anything to match.
 """
 
 from cometseam.timing.table import AXIS_ENDS, Box, Interval
@@ -10,34 +10,34 @@
 
 
 def union(intervals: list[Interval]) -> Intervals:
-    """Return the union: in order, apart, none empty."""
-    out: list[Interval] = []
+    """Return the union: sorted, disjoint and without empty intervals."""
+    merged: list[Interval] = []
     for low, high in sorted(interval for interval in intervals if interval[0] < interval[1]):
-        if out and low <= out[-1][1]:
-            out[-1] = (out[-1][0], max(out[-1][1], high))
+        if merged and low <= merged[-1][1]:
+            merged[-1] = (merged[-1][0], max(merged[-1][1], high))
         else:
-            out.append((low, high))
-    return tuple(out)
+            merged.append((low, high))
+    return tuple(merged)
 
 
 def intersection(one: Intervals, other: Intervals) -> Intervals:
-    """Return what both hold."""
-    out: list[Interval] = []
+    """Return what both sets contain."""
+    common: list[Interval] = []
     i = j = 0
     while i < len(one) and j < len(other):
         low, high = max(one[i][0], other[j][0]), min(one[i][1], other[j][1])
         if low < high:
-            out.append((low, high))
+            common.append((low, high))
         if one[i][1] < other[j][1]:
             i += 1
         else:
             j += 1
-    return tuple(out)
+    return tuple(common)
 
 
 def difference(one: Intervals, other: Intervals) -> Intervals:
-    """Return what the first holds and the second does not."""
-    out: list[Interval] = []
+    """Return what the first set contains and the second does not."""
+    remaining: list[Interval] = []
     j = 0
     for low, high in one:
         while j < len(other) and other[j][1] <= low:
@@ -45,12 +45,12 @@
         k = j
         while k < len(other) and other[k][0] < high:
             if low < other[k][0]:
-                out.append((low, other[k][0]))
+                remaining.append((low, other[k][0]))
             low = max(low, other[k][1])
             k += 1
         if low < high:
-            out.append((low, high))
-    return tuple(out)
+            remaining.append((low, high))
+    return tuple(remaining)
 
 
 def universal_box() -> Box:
@@ -59,7 +59,7 @@
 
 
 def intersect_boxes(one: Box, other: Box) -> Box | None:
-    """Return the box that both match, if there is one."""
+    """Return the box of what both match, or None if there is nothing."""
     axes = []
     for mine, theirs in zip(one, other, strict=True):
         both = mine if mine == theirs else intersection(mine, theirs)
@@ -70,48 +70,48 @@
 
 
 def subtract_box(box: Box, hole: Box) -> list[Box]:
-    """Return boxes, apart from each other, that together match what `box` does and `hole` does not."""
+    """Return disjoint boxes that together match what `box` matches and `hole` does not."""
     if intersect_boxes(box, hole) is None:
         return [box]
-    left: list[Box] = []
+    remaining: list[Box] = []
     for axis in range(len(box)):
-        rest = difference(box[axis], hole[axis])
-        if rest:
-            left.append((*box[:axis], rest, *box[axis + 1 :]))
+        outside = difference(box[axis], hole[axis])
+        if outside:
+            remaining.append((*box[:axis], outside, *box[axis + 1 :]))
         box = (*box[:axis], intersection(box[axis], hole[axis]), *box[axis + 1 :])
-    return left
+    return remaining
 
 
-def _needed(box: Box, cover: list[tuple[int, Box]]) -> list[int]:
-    """Return the numbers of those without which a cover is none; the last in order is dropped first."""
-    for place in range(len(cover) - 1, -1, -1):
-        rest, pieces = cover[:place] + cover[place + 1 :], [box]
-        for _, hole in rest:
+def _minimal_cover(box: Box, cover: list[tuple[int, Box]]) -> list[int]:
+    """Return the numbers of the boxes that the cover of `box` needs; later ones are left out first."""
+    for index in range(len(cover) - 1, -1, -1):
+        others, pieces = cover[:index] + cover[index + 1 :], [box]
+        for _, hole in others:
             pieces = [part for piece in pieces for part in subtract_box(piece, hole)]
         if not pieces:
-            cover = rest
+            cover = others
     return [number for number, _ in cover]
 
 
-def covered_by(box: Box, earlier: list[tuple[int, Box]], most: int) -> list[int] | None:
-    """Tell which of the earlier boxes cover `box` together; None: something of it is left, or `most` pieces.
+def covered_by(box: Box, earlier: list[tuple[int, Box]], max_pieces: int) -> list[int] | None:
+    """Return the numbers of the earlier boxes that together cover `box`, or None if they do not.
 
-    `earlier` hold (number, box). Past `most` pieces at once the answer is not worth its cost and the box
-    counts as not covered: a route is never refused for what was not shown.
+    `earlier` holds (number, box). Once more than `max_pieces` uncovered pieces remain, the search is too
+    expensive and the box counts as not covered: a route is never refused without proof.
     """
     pieces, used = [box], []
     for number, hole in earlier:
-        left: list[Box] = []
-        touched = False
+        remaining: list[Box] = []
+        is_touched = False
         for piece in pieces:
             parts = subtract_box(piece, hole)
-            touched = touched or parts != [piece]
-            left += parts
-        if touched:
+            is_touched = is_touched or parts != [piece]
+            remaining += parts
+        if is_touched:
             used.append(number)
-        pieces = left
+        pieces = remaining
         if not pieces:
-            return _needed(box, [(number, hole) for number, hole in earlier if number in used])
-        if len(pieces) > most:
+            return _minimal_cover(box, [(number, hole) for number, hole in earlier if number in used])
+        if len(pieces) > max_pieces:
             return None
     return None
--- a/cometseam/timing/retry_budget.py
+++ b/cometseam/timing/retry_budget.py
@@ -1,11 +1,11 @@
-"""A budget of further relays: a share of first ones over a sliding window, with a floor for low traffic.
+"""Retry budgets: further relays limited to a share of first ones over a sliding window, plus a floor.
 
-It guards against an outage that is multiplied: where all that is asked fails, further relays stay a share
-of what came in, and when the caches are back nothing is left over from before. It harms where single caches
-fail at low traffic, which is what the floor is for.
+A budget keeps retries from multiplying an outage: when every relay fails, further relays stay a share of the
+incoming traffic, and no backlog of them remains once the caches are back. It would do harm where single
+caches fail at low traffic; the floor prevents that.
 
-Where its terms say how many the whole fleet may send, this front also keeps to its part of that: an equal one
-until it is granted another (`cometseam.limits`). So the floors of hundreds of fronts don't add up.
+If its terms also limit the whole fleet, this front keeps to its share of that limit: an equal one until it
+has a lease on another (`cometseam.limits`). So the floors of hundreds of fronts do not add up.
 """
 
 from collections import deque
@@ -14,53 +14,53 @@
 from cometseam.timing.capacity_share import CapacityShare
 from cometseam.timing.retry_policy import NO_PLAN
 
-WINDOW_SLICES = 20  # of a window: what is older than a window leaves in steps of a twentieth
+WINDOW_SLICES = 20  # slices of a window; counts expire a slice (a twentieth of the window) at a time
 
 
 class RetryBudget:
-    """Counts first and further relays over the last window.
+    """Counts the first and further relays of the last window.
 
-    Its table holds one entry a slice of the window in which something was counted; each leaves when it is
-    older than the window.
+    The table holds one entry per slice of the window in which something was counted, and drops an entry when
+    it is older than the window.
     """
 
     def __init__(self, terms: RetryBudgetTerms, fronts: int = 1) -> None:
-        """`fronts`: how many share what the terms allow the fleet."""
+        """Start without counts; `fronts`: the number of fronts that share the fleet's limit."""
         self.terms, self.share = terms, CapacityShare(1.0 / max(fronts, 1))
-        self._slice = terms.window / WINDOW_SLICES
-        self._counts: deque[list[float]] = deque()  # [its start, first relays, further relays]
+        self._slice_ms = terms.window / WINDOW_SLICES
+        self._slices: deque[list[float]] = deque()  # [start, first relays, further relays]
         self.first_relays = self.further_relays = 0
 
-    def _roll(self, now: float) -> None:
-        # A slice leaves when all of it is older: what was counted late in it must not leave too early.
-        while self._counts and self._counts[0][0] + self._slice <= now - self.terms.window:
-            _, first, further = self._counts.popleft()
+    def _expire(self, now: float) -> None:
+        # Drops a slice only when all of it is older than the window, so that no relay expires early.
+        while self._slices and self._slices[0][0] + self._slice_ms <= now - self.terms.window:
+            _, first, further = self._slices.popleft()
             self.first_relays -= int(first)
             self.further_relays -= int(further)
 
-    def _now(self, now: float) -> list[float]:
-        self._roll(now)
-        start = now - now % self._slice
-        if not self._counts or self._counts[-1][0] < start:
-            self._counts.append([start, 0, 0])
-        return self._counts[-1]
+    def _current_slice(self, now: float) -> list[float]:
+        self._expire(now)
+        start = now - now % self._slice_ms
+        if not self._slices or self._slices[-1][0] < start:
+            self._slices.append([start, 0, 0])
+        return self._slices[-1]
 
     @property
     def max_further_relays(self) -> float:
-        """Tell how many further relays a window may hold, by what was last counted."""
+        """Return how many further relays the window may hold, given the first relays counted in it."""
         return self.terms.floor + self.terms.share * self.first_relays
 
     def has_room(self, now: float) -> bool:
-        """Tell whether one further relay may go at this time (ms)."""
-        self._roll(now)
+        """Return whether one further relay may be sent at this time (ms)."""
+        self._expire(now)
         if self.further_relays + 1 > self.max_further_relays:
             return False
-        fleet = self.terms.fleet
-        return not fleet or self.share.fits(self.further_relays + 1, fleet, now)
+        fleet_limit = self.terms.fleet
+        return not fleet_limit or self.share.fits(self.further_relays + 1, fleet_limit, now)
 
     def record_relay(self, now: float, further: bool) -> None:
-        """Count a relay that is sent: the first of a pull, or one after a failure."""
-        entry = self._now(now)
+        """Count a relay that is sent; `further`: it follows a failure, so it is not the first of its pull."""
+        entry = self._current_slice(now)
         if further:
             entry[2] += 1
             self.further_relays += 1
@@ -78,50 +78,52 @@
         self.budgets = budgets
 
     def has_room(self, now: float) -> bool:
-        """Tell whether each of them has room for one further relay."""
+        """Return whether each budget has room for one further relay."""
         return all(budget.has_room(now) for budget in self.budgets)
 
-    def record_relay(self, now: float, further: bool, before: int) -> None:
-        """Count a relay in each of them: a further one, or the first; a fill after a look is neither.
+    def record_relay(self, now: float, further: bool, relays_sent: int) -> None:
+        """Count a first or further relay in each budget; a fill after a cache lookup counts as neither.
 
-        `further`: the pull has failed before; `before`: relays of this pull that were sent.
+        `further`: the pull has failed before; `relays_sent`: relays of this pull that were sent before.
         """
-        if further or not before:
+        if further or not relays_sent:
             for budget in self.budgets:
                 budget.record_relay(now, further)
 
 
-FREE = PullBudgets(())
+NO_BUDGETS = PullBudgets(())
 
 
 class ActivePlans:
-    """The plans in force and their budgets. New plans empty it of the budgets that they no longer name."""
+    """The plans in force and their budgets. Budgets that new plans no longer name are dropped."""
 
     budgets: dict[RetryBudgetTerms, RetryBudget]
 
-    def __init__(self, plans: Plans, before: "ActivePlans | None" = None, fronts: int = 1) -> None:
-        """Take over the counts of each budget whose terms are as before: a reload grants nothing anew.
+    def __init__(self, plans: Plans, previous: "ActivePlans | None" = None, fronts: int = 1) -> None:
+        """Keep the counts of each budget whose terms are unchanged, so that a reload grants no new retries.
 
-        `fronts`: how many share what a budget allows the fleet.
+        `fronts`: the number of fronts that share what a budget allows the fleet.
         """
         self._plans = plans
         terms = [plans.front_budget, *plans.network_budgets, *(plan.allowance for plan in plans.plans)]
-        known: dict[RetryBudgetTerms, RetryBudget] = before.budgets if before is not None else {}
+        known: dict[RetryBudgetTerms, RetryBudget] = previous.budgets if previous is not None else {}
         self.budgets = {
             term: known.get(term) or RetryBudget(term, fronts) for term in terms if term is not None
         }
 
-    def apply_share(self, told: RetryBudgetShare, now: float) -> None:
-        """Take in this front's part of what the budget of that name allows the fleet."""
+    def apply_share(self, update: RetryBudgetShare, now: float) -> None:
+        """Apply this front's share of the fleet limit of the budget that the update names."""
         for terms, budget in self.budgets.items():
-            if terms.name == told.budget_name:
-                budget.share.apply_lease(told.share, told.ttl, now)
-
-    def plan_and_budgets(self, plan: int, network: int) -> tuple[Plan, PullBudgets]:
-        """Return the plan of a pull and what it draws on; without a plan nothing is counted."""
-        if not 0 <= plan < len(self._plans.plans):
-            return NO_PLAN, FREE
-        mine, networks = self._plans.plans[plan], self._plans.network_budgets
-        theirs = networks[network] if 0 <= network < len(networks) else None
-        terms = dict.fromkeys(t for t in (self._plans.front_budget, theirs, mine.allowance) if t is not None)
-        return mine, PullBudgets(tuple(self.budgets[term] for term in terms)) if terms else FREE
+            if terms.name == update.budget_name:
+                budget.share.apply_lease(update.share, update.ttl, now)
+
+    def plan_and_budgets(self, plan_index: int, network_index: int) -> tuple[Plan, PullBudgets]:
+        """Return the plan of a pull and the budgets it draws on: `NO_PLAN` and none for an unknown plan."""
+        if not 0 <= plan_index < len(self._plans.plans):
+            return NO_PLAN, NO_BUDGETS
+        plan, networks = self._plans.plans[plan_index], self._plans.network_budgets
+        network_terms = networks[network_index] if 0 <= network_index < len(networks) else None
+        terms = dict.fromkeys(
+            t for t in (self._plans.front_budget, network_terms, plan.allowance) if t is not None
+        )
+        return plan, PullBudgets(tuple(self.budgets[term] for term in terms)) if terms else NO_BUDGETS
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -178,7 +178,7 @@
         kept = sum(at > now - TERMS.window for at in further)
         allowed = TERMS.floor + TERMS.share * sum(at > now - 1.05 * TERMS.window for at in first)
         assert not is_further or kept <= allowed + 1e-9
-        assert len(budget._counts) <= 22
+        assert len(budget._slices) <= 22
 
 
 def test_new_plans_keep_the_counts_of_budgets_with_the_same_terms_and_drop_the_others() -> None:
