--- a/cometseam/levels/__init__.py
+++ b/cometseam/levels/__init__.py
@@ -1,8 +1,9 @@
-"""Levels of reduced service: when the front does less, and what it leaves out. No I/O but in `snapshot`.
+"""Load shedding by service levels: when the front reduces its service, and what it leaves out.
 
-Public: `LevelStateMachine` (which level holds), `Signals` (what it goes by), `LoadShedder` (what the module
-asks on each pull), `LevelPolicy` and its parts (what the operator's file sets). Everything is told the time
-and given its chance.
+A pull is a client's request; a relay is one attempt of it. Only `snapshot` does I/O. Public:
+`LevelStateMachine` (the level in force), `Signals` (the signal values it depends on), `LoadShedder` (asked by
+the decision module about each pull), and `LevelPolicy` with its parts (what the operator's file sets).
+Callers pass in the time and the random number generator.
 """
 
 from cometseam.levels.conditions import CompoundCondition, ThresholdCondition, TruthValue
--- a/cometseam/levels/conditions.py
+++ b/cometseam/levels/conditions.py
@@ -1,8 +1,8 @@
-"""Conditions over signals, of three values: true, false, and unknown where a signal tells nothing.
+"""Conditions over signals with three truth values: true, false, and unknown if a signal has no value.
 
-A leaf is true once its signal has been past its bound for its `lasts`; a sample on the other side starts it
-anew, an unknown one stops its clock. So a spike of one sample enters nothing, and silence neither enters
-nor leaves.
+A threshold is true once its signal has been past the bound for its `lasts` ms. A sample on the other side of
+the bound restarts that time, and an unknown sample pauses it. So a spike of one sample enters no level, and a
+signal without values neither enters nor leaves one.
 """
 
 from collections.abc import Iterator, Mapping
@@ -11,7 +11,7 @@
 
 
 class TruthValue(Enum):
-    """What a condition comes to now."""
+    """The present value of a condition."""
 
     FALSE = 0
     TRUE = 1
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ThresholdCondition:
-    """A signal above or below a bound for a time."""
+    """True once a signal has been above or below a bound for a time."""
 
     signal: str
     above: bool
     bound: float
-    lasts: float  # ms
+    lasts: float  # ms that the signal must stay past the bound
 
     def is_past_bound(self, value: float) -> bool:
-        """Tell whether a value is past the bound."""
+        """Return whether a value is past the bound."""
         return value > self.bound if self.above else value < self.bound
 
     def __str__(self) -> str:
@@ -38,13 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CompoundCondition:
-    """All or any of some conditions."""
+    """The conjunction (`all`) or disjunction of several conditions."""
 
     all: bool
     parts: tuple["CompoundCondition | ThresholdCondition", ...]
 
     def leaves(self) -> Iterator[ThresholdCondition]:
-        """Yield the leaves in order."""
+        """Yield the threshold conditions in order."""
         for part in self.parts:
             if isinstance(part, ThresholdCondition):
                 yield part
@@ -55,62 +55,62 @@
         return f"({(' and ' if self.all else ' or ').join(str(part) for part in self.parts)})"
 
 
-def combine_truth_values(all_of: bool, verdicts: list[TruthValue]) -> TruthValue:
-    """Join verdicts: unknown only where what is known does not settle it."""
-    settles = TruthValue.FALSE if all_of else TruthValue.TRUE
-    if settles in verdicts:
-        return settles
-    if TruthValue.UNKNOWN in verdicts:
+def combine_truth_values(is_conjunction: bool, truth_values: list[TruthValue]) -> TruthValue:
+    """Combine by `all` or `any`; the result is unknown only if the known values do not decide it."""
+    deciding = TruthValue.FALSE if is_conjunction else TruthValue.TRUE
+    if deciding in truth_values:
+        return deciding
+    if TruthValue.UNKNOWN in truth_values:
         return TruthValue.UNKNOWN
-    return TruthValue.TRUE if all_of else TruthValue.FALSE
+    return TruthValue.TRUE if is_conjunction else TruthValue.FALSE
 
 
 class ConditionTracker:
-    """A condition and how long each of its leaves has been past its bound."""
-
-    def __init__(self, condition: CompoundCondition, stretch: float = 1.0) -> None:
-        """Watch a condition; `stretch` lengthens its times, so that fronts do not act in step."""
-        self.condition, self._stretch = condition, stretch
-        self._held = [0.0 for _ in condition.leaves()]
-
-    def step(self, passed: float, values: Mapping[str, float | None]) -> TruthValue:
-        """Take in the signals' values after `passed` ms and tell the verdict."""
-        leaves = list(self.condition.leaves())
-        verdicts: list[TruthValue] = []
-        for place, leaf in enumerate(leaves):
-            value = values.get(leaf.signal)
+    """A condition, and for each of its thresholds the time that the signal has been past the bound."""
+
+    def __init__(self, condition: CompoundCondition, time_factor: float = 1.0) -> None:
+        """Track a condition; `time_factor` lengthens its times, so that fronts do not all change at once."""
+        self.condition, self._time_factor = condition, time_factor
+        self._times_past_bound = [0.0 for _ in condition.leaves()]
+
+    def step(self, elapsed: float, values: Mapping[str, float | None]) -> TruthValue:
+        """Apply the signals' values after `elapsed` ms and return the condition's truth value."""
+        thresholds = list(self.condition.leaves())
+        truth_values: list[TruthValue] = []
+        for index, threshold in enumerate(thresholds):
+            value = values.get(threshold.signal)
             if value is None:
-                verdicts.append(TruthValue.UNKNOWN)
-            elif leaf.is_past_bound(value):
-                self._held[place] += passed
-                enough = self._held[place] >= leaf.lasts * self._stretch
-                verdicts.append(TruthValue.TRUE if enough else TruthValue.FALSE)
+                truth_values.append(TruthValue.UNKNOWN)
+            elif threshold.is_past_bound(value):
+                self._times_past_bound[index] += elapsed
+                is_met = self._times_past_bound[index] >= threshold.lasts * self._time_factor
+                truth_values.append(TruthValue.TRUE if is_met else TruthValue.FALSE)
             else:
-                self._held[place] = 0.0
-                verdicts.append(TruthValue.FALSE)
-        return self._joined(self.condition, iter(verdicts))
+                self._times_past_bound[index] = 0.0
+                truth_values.append(TruthValue.FALSE)
+        return self._evaluate(self.condition, iter(truth_values))
 
-    def _joined(self, condition: CompoundCondition, verdicts: Iterator[TruthValue]) -> TruthValue:
-        parts = [
-            next(verdicts) if isinstance(part, ThresholdCondition) else self._joined(part, verdicts)
+    def _evaluate(self, condition: CompoundCondition, truth_values: Iterator[TruthValue]) -> TruthValue:
+        values = [
+            next(truth_values) if isinstance(part, ThresholdCondition) else self._evaluate(part, truth_values)
             for part in condition.parts
         ]
-        return combine_truth_values(condition.all, parts)
+        return combine_truth_values(condition.all, values)
 
     def reset(self) -> None:
-        """Start all leaves anew."""
-        self._held = [0.0 for _ in self._held]
+        """Restart the time of each threshold."""
+        self._times_past_bound = [0.0 for _ in self._times_past_bound]
 
     def unmet_reasons(self, values: Mapping[str, float | None]) -> list[str]:
-        """Tell for each leaf what is missing for it to hold."""
-        out: list[str] = []
-        for place, leaf in enumerate(self.condition.leaves()):
-            value, lasts = values.get(leaf.signal), leaf.lasts * self._stretch
+        """Return for each threshold that is not met what it lacks."""
+        reasons: list[str] = []
+        for index, threshold in enumerate(self.condition.leaves()):
+            value, needed = values.get(threshold.signal), threshold.lasts * self._time_factor
             if value is None:
-                out.append(f"{leaf.signal} is not known")
-            elif not leaf.is_past_bound(value):
-                out.append(f"{leaf}: it is {value:g}")
-            elif self._held[place] < lasts:
-                left = (lasts - self._held[place]) / 1000.0
-                out.append(f"{leaf}: it is {value:g}, for {left:.1f}s more")
-        return out
+                reasons.append(f"{threshold.signal} is not known")
+            elif not threshold.is_past_bound(value):
+                reasons.append(f"{threshold}: it is {value:g}")
+            elif self._times_past_bound[index] < needed:
+                remaining_s = (needed - self._times_past_bound[index]) / 1000.0
+                reasons.append(f"{threshold}: it is {value:g}, and must stay so for {remaining_s:.1f}s more")
+        return reasons
--- a/cometseam/levels/machine.py
+++ b/cometseam/levels/machine.py
@@ -1,14 +1,19 @@
-"""Which level holds. One change at a time, ten seconds apart at least, whatever the signals do.
-
-Up: to the highest level whose condition holds. Down: one level, once its condition to leave has held and
-its stay is over; what it had left out comes back over its ramp. A front that comes back to a level soon
-after it left it stays longer each time (hold-down), which wears off in calm.
-
-| state | event | next | told | | --- | --- | --- | --- | | level n | the condition of m > n holds, 10 s
-since the last change | level m | up, with the values that caused it | | level n | its condition to leave
-holds, its stay times the hold-down is over | level n - 1, ramping | down | | level n | signals unknown |
-level n | nothing | | ramping | a condition to enter holds, 10 s since the change | that level, no ramp | up
-| | any | the clock jumps | the same | nothing: a step counts for a second at most |
+"""The state machine of service levels: one change at a time, at least ten seconds apart.
+
+A front rises to the highest level whose enter condition holds. It descends one level at a time, once the
+condition to leave holds and the level's minimum stay is over; what only the upper level shed then comes back
+over that level's ramp. A front that returns to a level soon after it left it must stay longer each time
+(hold-down), which decays in calm.
+
+    state     event                                              next state            result
+    level n   the condition of level m > n holds, and            level m               a rise, with the values
+              10 s have passed since the last change                                   that caused it
+    level n   the condition to leave holds, and the stay,        level n - 1, ramping  a descent
+              times the hold-down factor, is over
+    level n   signals are unknown                                level n               none
+    ramping   an enter condition holds, 10 s after the change    that level, no ramp   a rise
+    any       the clock jumps                                    the same              none: one step counts
+                                                                                       for 1 s at most
 """
 
 from collections.abc import Mapping
@@ -18,50 +23,52 @@
 from cometseam.levels.conditions import ConditionTracker, TruthValue
 from cometseam.levels.policy import MIN_STAY_MS, LevelActions, LevelPolicy, ShedShare, is_at_least_as_strict
 
-LONGEST_STEP = 1000.0  # ms that one step counts for: what a clock jumps is no time that was watched
-MOST_HOLD_DOWN = 8.0
+MAX_STEP_MS = (
+    1000.0  # elapsed time that one step counts for: after a clock jump the signals were not observed
+)
+MAX_HOLD_DOWN_FACTOR = 8.0
 
 
 @dataclass(frozen=True, slots=True)
 class LevelChange:
-    """A change of level."""
+    """A change of level, and why it was made."""
 
     before: int
     after: int
     reason: str  # the condition that held
-    values: dict[str, float | None]  # of the signals that it names
-    previous_duration: float  # ms in the level before
+    values: dict[str, float | None]  # of the signals in that condition
+    previous_duration: float  # ms spent in the level before
 
 
 class LevelStateMachine:
-    """The level that holds, and what it leaves out now."""
-
-    def __init__(self, scheme: LevelPolicy, chance: Random, level: int = 0) -> None:
-        """Begin in a level; `chance` draws once how much later than others this front acts."""
-        self.policy, self.level = scheme, level
-        stretch = 1.0 + scheme.spread * chance.random()
-        self._enter = [ConditionTracker(each.enter, stretch) for each in scheme.levels]
-        self._leave = [ConditionTracker(each.leave, stretch) for each in scheme.levels]
-        self._ramp_stretch = 1.0 + scheme.spread * chance.random()
-        # ms since the last change; a fresh start may act at once.
+    """Decides which level is in force and what it leaves out now."""
+
+    def __init__(self, policy: LevelPolicy, rng: Random, level: int = 0) -> None:
+        """Start in `level`; draws from `rng` how much longer the times of this front are than configured."""
+        self.policy, self.level = policy, level
+        time_factor = 1.0 + policy.spread * rng.random()
+        self._enter = [ConditionTracker(each.enter, time_factor) for each in policy.levels]
+        self._leave = [ConditionTracker(each.leave, time_factor) for each in policy.levels]
+        self._ramp_factor = 1.0 + policy.spread * rng.random()
+        # ms since the last change; a start in full service may change at once.
         self.since_change_ms = 0.0 if level else MIN_STAY_MS
-        self.hold_down_factors = [1.0] * len(scheme.levels)
-        self._left = [float("inf")] * len(scheme.levels)  # ms since each level was left
-        self._calm = 0.0
-        self._from = level  # where a ramp comes down from
-        self.level_times_ms = [0.0] * (len(scheme.levels) + 1)
-        self._last: float | None = None
+        self.hold_down_factors = [1.0] * len(policy.levels)
+        self._since_left_ms = [float("inf")] * len(policy.levels)  # by level
+        self._calm_ms = 0.0
+        self._ramp_from = level  # the level that a ramp descends from
+        self.level_times_ms = [0.0] * (len(policy.levels) + 1)
+        self._last_step_at: float | None = None
 
     def step(self, now: float, values: Mapping[str, float | None]) -> LevelChange | None:
-        """Take in the signals' values at a time (ms) and tell whether the level changes."""
-        passed = 0.0 if self._last is None else min(max(now - self._last, 0.0), LONGEST_STEP)
-        self._last = now
-        self.since_change_ms += passed
-        self.level_times_ms[self.level] += passed
-        self._left = [left + passed for left in self._left]
-        self._wear(passed)
-        entering = [watched.step(passed, values) for watched in self._enter]
-        leaving = [watched.step(passed, values) for watched in self._leave]
+        """Apply the signals' values at a time (ms) and return the change of level, if there is one."""
+        elapsed = 0.0 if self._last_step_at is None else min(max(now - self._last_step_at, 0.0), MAX_STEP_MS)
+        self._last_step_at = now
+        self.since_change_ms += elapsed
+        self.level_times_ms[self.level] += elapsed
+        self._since_left_ms = [since + elapsed for since in self._since_left_ms]
+        self._decay_hold_down(elapsed)
+        entering = [tracker.step(elapsed, values) for tracker in self._enter]
+        leaving = [tracker.step(elapsed, values) for tracker in self._leave]
         if self.since_change_ms < MIN_STAY_MS:
             return None
         for number in range(len(self.policy.levels), self.level, -1):
@@ -77,86 +84,93 @@
 
     @property
     def min_stay(self) -> float:
-        """Tell for how long the present level holds at least, ms."""
+        """Return the minimum time in the present level, hold-down included, in ms."""
         if not self.level:
             return MIN_STAY_MS
         return (
             max(self.policy.levels[self.level - 1].stay, MIN_STAY_MS) * self.hold_down_factors[self.level - 1]
         )
 
-    def _wear(self, passed: float) -> None:
-        self._calm += passed
-        if self._calm >= self.policy.calm:
-            self._calm = 0.0
-            self.hold_down_factors = [max(held / 2.0, 1.0) for held in self.hold_down_factors]
+    def _decay_hold_down(self, elapsed: float) -> None:
+        self._calm_ms += elapsed
+        if self._calm_ms >= self.policy.calm:
+            self._calm_ms = 0.0
+            self.hold_down_factors = [max(factor / 2.0, 1.0) for factor in self.hold_down_factors]
 
     def _change(
         self, number: int, cause: ConditionTracker, values: Mapping[str, float | None]
     ) -> LevelChange:
-        before, stayed = self.level, self.since_change_ms
-        named = {leaf.signal: values.get(leaf.signal) for leaf in cause.condition.leaves()}
-        change = LevelChange(before, number, str(cause.condition), named, stayed)
+        before, duration = self.level, self.since_change_ms
+        cause_values = {leaf.signal: values.get(leaf.signal) for leaf in cause.condition.leaves()}
+        change = LevelChange(before, number, str(cause.condition), cause_values, duration)
         if number > before:
-            for place in range(before, number):
-                if self._left[place] < self.policy.calm:
-                    self.hold_down_factors[place] = min(2.0 * self.hold_down_factors[place], MOST_HOLD_DOWN)
-            self._from = number
+            for index in range(before, number):
+                if self._since_left_ms[index] < self.policy.calm:
+                    self.hold_down_factors[index] = min(
+                        2.0 * self.hold_down_factors[index], MAX_HOLD_DOWN_FACTOR
+                    )
+            self._ramp_from = number
         else:
-            self._left[before - 1] = 0.0
-            self._from = before
-        self.level, self.since_change_ms, self._calm = number, 0.0, 0.0
-        for watched in (*self._enter, *self._leave):
-            watched.reset()
+            self._since_left_ms[before - 1] = 0.0
+            self._ramp_from = before
+        self.level, self.since_change_ms, self._calm_ms = number, 0.0, 0.0
+        for tracker in (*self._enter, *self._leave):
+            tracker.reset()
         return change
 
-    def _ramped(self) -> float:
-        """Return the part of what the level before left out that is still left out: from 1 down to 0."""
-        if self._from <= self.level:
+    def _ramp_share(self) -> float:
+        """Return the share of the upper level's extra shedding that still applies: from 1 down to 0."""
+        if self._ramp_from <= self.level:
             return 0.0
-        ramp = self.policy.levels[self._from - 1].ramp * self._ramp_stretch
-        return max(1.0 - self.since_change_ms / ramp, 0.0) if ramp > 0.0 else 0.0
+        ramp_ms = self.policy.levels[self._ramp_from - 1].ramp * self._ramp_factor
+        return max(1.0 - self.since_change_ms / ramp_ms, 0.0) if ramp_ms > 0.0 else 0.0
 
     def current_actions(self) -> LevelActions:
-        """Return what is left out now: the level's, and in a ramp part of what the one above shed."""
-        mine, part = self.policy.actions_of(self.level), self._ramped()
-        if part <= 0.0:
-            return mine
-        above = self.policy.actions_of(self._from)
-        shares: dict[tuple[int, str], float] = {(s.workload, s.route): s.share for s in mine.shed}
-        for shed in above.shed:
+        """Return what is left out now: the level's actions and, during a ramp, a share of the upper level's.
+
+        Only shed shares and the limit on fills are ramped.
+        """
+        actions, ramp_share = self.policy.actions_of(self.level), self._ramp_share()
+        if ramp_share <= 0.0:
+            return actions
+        upper = self.policy.actions_of(self._ramp_from)
+        shares: dict[tuple[int, str], float] = {(s.workload, s.route): s.share for s in actions.shed}
+        for shed in upper.shed:
             key = (shed.workload, shed.route)
             base = shares.get(key, 0.0)
-            shares[key] = base + part * max(shed.share - base, 0.0)
+            shares[key] = base + ramp_share * max(shed.share - base, 0.0)
         return LevelActions(
             tuple(ShedShare(workload, route, share) for (workload, route), share in shares.items()),
-            mine.ageing, mine.first_seen, mine.further,
-            mine.fills - part * (mine.fills - min(above.fills, mine.fills)), mine.later,
+            actions.ageing, actions.first_seen, actions.further,
+            actions.fills - ramp_share * (actions.fills - min(upper.fills, actions.fills)), actions.later,
         )  # fmt: skip
 
     def explain(self, values: Mapping[str, float | None]) -> list[str]:
-        """Tell what would have to change for the level to be left, up or down."""
-        out: list[str] = []
+        """Return for each change that is possible from this level what it still lacks, as text."""
+        lines: list[str] = []
         for number in range(len(self.policy.levels), self.level, -1):
             missing = self._enter[number - 1].unmet_reasons(values)
-            out.append(f"up to {self.policy.level_name(number)}: {'; '.join(missing) or 'now'}")
+            lines.append(f"up to {self.policy.level_name(number)}: {'; '.join(missing) or 'now'}")
         if self.level:
             missing = self._leave[self.level - 1].unmet_reasons(values)
             if self.since_change_ms < self.min_stay:
-                missing.append(f"its stay lasts {(self.min_stay - self.since_change_ms) / 1000.0:.1f}s more")
-            out.append(f"down to {self.policy.level_name(self.level - 1)}: {'; '.join(missing) or 'now'}")
-        return out
+                missing.append(
+                    f"its minimum stay lasts {(self.min_stay - self.since_change_ms) / 1000.0:.1f}s more"
+                )
+            lines.append(f"down to {self.policy.level_name(self.level - 1)}: {'; '.join(missing) or 'now'}")
+        return lines
 
 
 def map_level(before: LevelPolicy, level: int, after: LevelPolicy) -> int:
-    """Return the level that stands for one of another scheme: by name, else the least that does no less.
+    """Return the level of a new policy that replaces a level of the old one.
 
-    Where none does no less it is the last one.
+    It is the level of the same name, else the first that is at least as strict, else the last one.
     """
     found = after.level_number(before.level_name(level))
     if found is not None:
         return found
-    wanted = before.actions_of(level)
+    actions = before.actions_of(level)
     for number in range(len(after.levels) + 1):
-        if is_at_least_as_strict(after.actions_of(number), wanted):
+        if is_at_least_as_strict(after.actions_of(number), actions):
             return number
     return len(after.levels)
--- a/cometseam/levels/replay.py
+++ b/cometseam/levels/replay.py
@@ -1,7 +1,7 @@
-"""A series of signals through the levels: what would have changed when. No I/O.
+"""Replays a series of signal values through the levels and reports what would have changed when. No I/O.
 
-A series is text in lines: a head of `t` (seconds) and signals' names, separated by commas, then a row for
-each time. An empty place is a signal that is not known then.
+A series is CSV text: a header of `t` (seconds) and signal names, then one row for each time. An empty field
+means that the signal is unknown at that time.
 """
 
 import csv
@@ -13,16 +13,16 @@
 from cometseam.levels.machine import LevelChange, LevelStateMachine
 from cometseam.levels.policy import LevelPolicy
 
-MOST_ROWS = 1_000_000
+MAX_ROWS = 1_000_000
 
 
 class SeriesError(ValueError):
-    """A series can't be used; the text names the line."""
+    """A series cannot be used; the text names the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """The signals at a time (ms)."""
+    """The signal values at a time (ms)."""
 
     at: float
     values: dict[str, float | None]
@@ -30,50 +30,50 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayResult:
-    """What a series came to: the changes with their times, and the level and shed share at each row."""
+    """The changes with their times (ms), and the level and the largest shed share at each row."""
 
     changes: list[tuple[float, LevelChange]]
     levels: list[int]
     shares: list[float]
-    seconds_by_level: dict[str, float]  # s
+    seconds_by_level: dict[str, float]
 
 
-def parse_series(text: str, known: list[str]) -> list[Row]:
-    """Read a series; a name that is no signal, or a row that goes back in time, is `SeriesError`."""
+def parse_series(text: str, known_signals: list[str]) -> list[Row]:
+    """Parse a series; raises `SeriesError` for an unknown signal, a malformed row or a time out of order."""
     rows = csv.reader(io.StringIO(text))
-    head = next(rows, [])
-    if head[:1] != ["t"]:
-        raise SeriesError("line 1: a head that begins with t was expected")
-    for name in head[1:]:
-        if name not in known:
-            raise SeriesError(f"line 1: {name!r} is no signal; known are {', '.join(known)}")
-    out: list[Row] = []
+    header = next(rows, [])
+    if header[:1] != ["t"]:
+        raise SeriesError("line 1: expected a header that begins with t")
+    for name in header[1:]:
+        if name not in known_signals:
+            raise SeriesError(f"line 1: {name!r} is no signal; known are {', '.join(known_signals)}")
+    parsed: list[Row] = []
     for number, row in enumerate(rows, 2):
         if not row:
             continue
-        if len(row) != len(head):
-            raise SeriesError(f"line {number}: {len(head)} places were expected, not {len(row)}")
+        if len(row) != len(header):
+            raise SeriesError(f"line {number}: expected {len(header)} fields, found {len(row)}")
         try:
             at = 1000.0 * float(row[0])
-            told = zip(head[1:], row[1:], strict=True)
-            values = {name: float(value) if value else None for name, value in told}
+            pairs = zip(header[1:], row[1:], strict=True)
+            values = {name: float(value) if value else None for name, value in pairs}
         except ValueError as error:
             raise SeriesError(f"line {number}: {error}") from error
         if not all(math.isfinite(value) for value in (at, *(v for v in values.values() if v is not None))):
-            raise SeriesError(f"line {number}: a finite number was expected")
-        if out and at <= out[-1].at:
-            raise SeriesError(f"line {number}: its time does not lie after the one before")
-        out.append(Row(at, values))
-        if len(out) > MOST_ROWS:
-            raise SeriesError(f"more than {MOST_ROWS} rows")
-    if not out:
-        raise SeriesError("it holds no rows")
-    return out
-
-
-def replay(scheme: LevelPolicy, rows: list[Row], seed: int) -> ReplayResult:
-    """Step the levels through a series; the same series and seed give the same changes."""
-    machine = LevelStateMachine(scheme, Random(seed))
+            raise SeriesError(f"line {number}: expected finite numbers")
+        if parsed and at <= parsed[-1].at:
+            raise SeriesError(f"line {number}: its time is not later than that of the row before")
+        parsed.append(Row(at, values))
+        if len(parsed) > MAX_ROWS:
+            raise SeriesError(f"expected at most {MAX_ROWS} rows")
+    if not parsed:
+        raise SeriesError("expected rows after the header, found none")
+    return parsed
+
+
+def replay(policy: LevelPolicy, rows: list[Row], seed: int) -> ReplayResult:
+    """Step the state machine through a series; the same series and seed give the same result."""
+    machine = LevelStateMachine(policy, Random(seed))
     changes: list[tuple[float, LevelChange]] = []
     levels: list[int] = []
     shares: list[float] = []
@@ -83,6 +83,6 @@
             changes.append((row.at, change))
         levels.append(machine.level)
         shares.append(max((shed.share for shed in machine.current_actions().shed), default=0.0))
-    names = [scheme.level_name(number) for number in range(len(scheme.levels) + 1)]
-    times = {name: time / 1000.0 for name, time in zip(names, machine.level_times_ms, strict=True)}
-    return ReplayResult(changes, levels, shares, times)
+    names = [policy.level_name(number) for number in range(len(policy.levels) + 1)]
+    seconds = {name: time_ms / 1000.0 for name, time_ms in zip(names, machine.level_times_ms, strict=True)}
+    return ReplayResult(changes, levels, shares, seconds)
--- a/cometseam/levels/signals.py
+++ b/cometseam/levels/signals.py
@@ -1,12 +1,17 @@
-"""What the levels go by: values of the front over windows; too few or old samples are unknown.
-
-| signal | what it is | window | unknown | | --- | --- | --- | --- | | `link` | how full the zone's link is,
-as the answers of its caches tell (1: full) | 2 s | under 5 answers, or none for 3 s | | `fills` | fills out
-over their limit | now | never | | `late:W`, `shed:W`, `errored:W` | share of the workload's pulls; shed by
-a level is not counted as shed | 5 s | under 20 pulls | | `pressure:W` | 95th percentile of the time to the
-answer over the quoted time | 5 to 10 s | under 20 answers | | `lag` | the longest that the loop came late,
-ms | 1 s | no look for 2 s | | `buffers`, `open` | share of the buffers lent, of the pulls that may be open
-| now | never | | `budgets` | share of the retry budgets that have no room | now | where there is none |
+"""The signals that levels depend on: values of the front over windows; too few or old samples mean unknown.
+
+signal                   meaning                                         window     unknown
+link                     utilization of the zone's link, as reported     2 s        under 5 answers, or
+                         by its caches (1: full)                                    none for 3 s
+fills                    fills in flight over their limit                now        never
+late:W, shed:W,          share of the pulls of workload W; a pull shed   5 s        under 20 pulls
+errored:W                by a level does not count as shed
+pressure:W               95th percentile of the answer time over the     5 to 10 s  under 20 answers
+                         target latency
+lag                      longest delay of the event loop, ms             1 s        no sample for 2 s
+buffers, open            share of the buffers in use, of the pulls       now        never
+                         that may be open
+budgets                  share of the retry budgets without room         now        if there is none
 """
 
 from collections import deque
@@ -14,46 +19,50 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-LINK, SHARES, LAG = 2000.0, 5000.0, 1000.0  # ms of the windows
-LINK_FRESH, LAG_FRESH = 3000.0, 2000.0
-FEW_LINK, FEW = 5, 20
-SLICE = 250.0  # ms in which a window counts together
-PLAIN = ("link", "fills", "lag", "buffers", "open", "budgets")
-BY_WORKLOAD = ("late", "shed", "errored", "pressure")
-# What a signal can reach at most, where there is a most.
+LINK_WINDOW_MS = 2000.0
+WORKLOAD_WINDOW_MS = 5000.0
+LAG_WINDOW_MS = 1000.0
+MAX_LINK_AGE_MS = 3000.0  # after the last answer the signal becomes unknown
+MAX_LAG_AGE_MS = 2000.0
+MIN_LINK_SAMPLES = 5
+MIN_WORKLOAD_SAMPLES = 20
+SLICE_MS = 250.0  # samples of one slice of a window expire together
+FRONT_SIGNALS = ("link", "fills", "lag", "buffers", "open", "budgets")
+WORKLOAD_SIGNALS = ("late", "shed", "errored", "pressure")
+# The largest value of each signal that has one.
 SIGNAL_MAX = {"late": 1.0, "shed": 1.0, "errored": 1.0, "buffers": 1.0, "open": 1.0, "budgets": 1.0}
-PRESSURE_MOST = 1000  # hundredths of the quoted time that are told apart; more counts as that
+MAX_PRESSURE_PERCENT = 1000  # of the target latency; larger values count as this
 
 SignalValues = Mapping[str, float | None]
 
 
 class SlidingWindow:
-    """Sums over the last so many ms, in slices; a slice leaves when it is older than the window."""
+    """Count, sum and maximum of recent samples, in slices that expire when they start before the window."""
 
-    def __init__(self, length: float) -> None:
-        self._length = length
-        self._slices: deque[list[float]] = deque()  # [start, samples, sum, most]
-        self.last = float("-inf")
+    def __init__(self, length_ms: float) -> None:
+        self._length_ms = length_ms
+        self._slices: deque[list[float]] = deque()  # [start, samples, sum, maximum]
+        self.last_at = float("-inf")
 
     def add(self, now: float, value: float) -> None:
-        """Take in one sample."""
-        start = now - now % SLICE
+        """Add one sample."""
+        start = now - now % SLICE_MS
         if not self._slices or self._slices[-1][0] < start:
             self._slices.append([start, 0.0, 0.0, value])
         entry = self._slices[-1]
         entry[1] += 1.0
         entry[2] += value
         entry[3] = max(entry[3], value)
-        self.last = now
-        self._roll(now)
+        self.last_at = now
+        self._expire(now)
 
-    def _roll(self, now: float) -> None:
-        while self._slices and self._slices[0][0] <= now - self._length:
+    def _expire(self, now: float) -> None:
+        while self._slices and self._slices[0][0] <= now - self._length_ms:
             self._slices.popleft()
 
     def read(self, now: float) -> tuple[float, float, float]:
-        """Return how many samples there are, their sum and the largest."""
-        self._roll(now)
+        """Return the number of samples in the window, their sum and their maximum."""
+        self._expire(now)
         if not self._slices:
             return 0.0, 0.0, 0.0
         return (
@@ -64,58 +73,58 @@
 
 
 class Histogram(Protocol):
-    """What of hdrhistogram's histograms is used."""
+    """The methods of hdrhistogram's histograms that are used."""
 
     def record_value(self, value: int) -> bool:
-        """Count a value."""
+        """Record a value."""
 
     def get_value_at_percentile(self, percentile: float) -> int:
-        """Return the value that so many of 100 do not exceed."""
+        """Return the value that this percentage (0 to 100) of the recorded values does not exceed."""
 
     def get_total_count(self) -> int:
-        """Return how many were counted."""
+        """Return the number of recorded values."""
 
     def reset(self) -> None:
-        """Forget all."""
+        """Remove all values."""
 
 
 class RotatingHistogram:
-    """Quantiles over one to two windows: two histograms, the older of which is emptied each window."""
+    """Percentiles over one to two windows: two histograms, of which the older is cleared every window."""
 
-    def __init__(self, length: float, make: Callable[[], Histogram]) -> None:
-        self._length, self._both = length, (make(), make())
-        self._turn, self._since = 0, float("-inf")
+    def __init__(self, length_ms: float, make_histogram: Callable[[], Histogram]) -> None:
+        self._length_ms, self._histograms = length_ms, (make_histogram(), make_histogram())
+        self._current, self._rotated_at = 0, float("-inf")
 
     def _rotate(self, now: float) -> None:
-        if now - self._since >= 2.0 * self._length:
-            for each in self._both:
+        if now - self._rotated_at >= 2.0 * self._length_ms:
+            for each in self._histograms:
                 each.reset()
-            self._since = now
-        elif now - self._since >= self._length:
-            self._turn = 1 - self._turn
-            self._both[self._turn].reset()
-            self._since = now
+            self._rotated_at = now
+        elif now - self._rotated_at >= self._length_ms:
+            self._current = 1 - self._current
+            self._histograms[self._current].reset()
+            self._rotated_at = now
 
     def add(self, now: float, value: float) -> None:
-        """Take in a share of the quoted time."""
+        """Add an answer time, as a ratio to the target latency."""
         self._rotate(now)
-        self._both[self._turn].record_value(min(max(int(100.0 * value), 1), PRESSURE_MOST))
+        self._histograms[self._current].record_value(min(max(int(100.0 * value), 1), MAX_PRESSURE_PERCENT))
 
     def read(self, now: float, percentile: float) -> tuple[int, float]:
-        """Return how many samples there are, and the percentile: the worse of the two windows with enough."""
+        """Return the number of samples and the percentile: the larger of the windows with enough samples."""
         self._rotate(now)
-        counts = [each.get_total_count() for each in self._both]
+        counts = [each.get_total_count() for each in self._histograms]
         values = [
             each.get_value_at_percentile(percentile) / 100.0
-            for each, count in zip(self._both, counts, strict=True)
-            if count >= FEW
+            for each, count in zip(self._histograms, counts, strict=True)
+            if count >= MIN_WORKLOAD_SAMPLES
         ]
         return sum(counts), max(values, default=0.0)
 
 
 @dataclass(slots=True)
 class UtilizationSample:
-    """What the front tells of itself at a look."""
+    """The signals that the front measures itself, at one evaluation; see the table above."""
 
     fills: float
     buffers: float
@@ -124,51 +133,54 @@
 
 
 class Signals:
-    """Takes in what the front sees; bounded by the number of workloads and slices."""
+    """Collects samples and computes the signals; memory is bounded by the workloads and slices."""
 
-    def __init__(self, workloads: tuple[str, ...], make: Callable[[], Histogram]) -> None:
+    def __init__(self, workloads: tuple[str, ...], make_histogram: Callable[[], Histogram]) -> None:
         self.workloads = workloads
-        self._link, self._lag = SlidingWindow(LINK), SlidingWindow(LAG)
-        self._ends = {
-            kind: [SlidingWindow(SHARES) for _ in workloads] for kind in ("late", "shed", "errored")
+        self._link, self._lag = SlidingWindow(LINK_WINDOW_MS), SlidingWindow(LAG_WINDOW_MS)
+        self._outcomes = {
+            kind: [SlidingWindow(WORKLOAD_WINDOW_MS) for _ in workloads]
+            for kind in ("late", "shed", "errored")
         }
-        self._pressure = [RotatingHistogram(SHARES, make) for _ in workloads]
-
-    def record_link(self, now: float, fullness: float) -> None:
-        """An answer of a cache of the zone tells how full the link is."""
-        self._link.add(now, fullness)
-
-    def record_lag(self, now: float, by: float) -> None:
-        """The loop came late by so many ms."""
-        self._lag.add(now, by)
-
-    def record_answer(self, now: float, workload: int, kind: str, took: float, quoted: float) -> None:
-        """A pull got its answer: `finished`, `shed` or `errored`, after `took` of `quoted` ms."""
-        late = kind == "finished" and took > quoted
-        for name, counts in self._ends.items():
-            counts[workload].add(now, float(late if name == "late" else kind == name))
-        if kind == "finished" and quoted > 0.0:
-            self._pressure[workload].add(now, took / quoted)
-
-    def read(self, now: float, front: UtilizationSample) -> dict[str, float | None]:
-        """Return each signal's value; None: unknown."""
-        out: dict[str, float | None] = {
-            "fills": front.fills, "buffers": front.buffers, "open": front.open, "budgets": front.budgets,
+        self._pressure = [RotatingHistogram(WORKLOAD_WINDOW_MS, make_histogram) for _ in workloads]
+
+    def record_link(self, now: float, utilization: float) -> None:
+        """Record the link utilization that an answer of one of the zone's caches reports (1: full)."""
+        self._link.add(now, utilization)
+
+    def record_lag(self, now: float, lag_ms: float) -> None:
+        """Record a delay of the event loop."""
+        self._lag.add(now, lag_ms)
+
+    def record_answer(
+        self, now: float, workload: int, kind: str, duration: float, target_latency: float
+    ) -> None:
+        """Record the answer to a pull, `finished`, `shed` or `errored`, after `duration` ms."""
+        is_late = kind == "finished" and duration > target_latency
+        for name, windows in self._outcomes.items():
+            windows[workload].add(now, float(is_late if name == "late" else kind == name))
+        if kind == "finished" and target_latency > 0.0:
+            self._pressure[workload].add(now, duration / target_latency)
+
+    def read(self, now: float, sample: UtilizationSample) -> dict[str, float | None]:
+        """Return the value of each signal, None if it is unknown."""
+        values: dict[str, float | None] = {
+            "fills": sample.fills, "buffers": sample.buffers, "open": sample.open, "budgets": sample.budgets,
         }  # fmt: skip
         count, total, _ = self._link.read(now)
-        fresh = count >= FEW_LINK and now - self._link.last <= LINK_FRESH
-        out["link"] = total / count if fresh else None
-        count, _, most = self._lag.read(now)
-        out["lag"] = most if count and now - self._lag.last <= LAG_FRESH else None
-        for place, workload in enumerate(self.workloads):
-            for name, counts in self._ends.items():
-                count, total, _ = counts[place].read(now)
-                out[f"{name}:{workload}"] = total / count if count >= FEW else None
-            samples, value = self._pressure[place].read(now, 95.0)
-            out[f"pressure:{workload}"] = value if samples >= FEW else None
-        return out
+        is_known = count >= MIN_LINK_SAMPLES and now - self._link.last_at <= MAX_LINK_AGE_MS
+        values["link"] = total / count if is_known else None
+        count, _, largest_lag = self._lag.read(now)
+        values["lag"] = largest_lag if count and now - self._lag.last_at <= MAX_LAG_AGE_MS else None
+        for index, workload in enumerate(self.workloads):
+            for name, windows in self._outcomes.items():
+                count, total, _ = windows[index].read(now)
+                values[f"{name}:{workload}"] = total / count if count >= MIN_WORKLOAD_SAMPLES else None
+            samples, value = self._pressure[index].read(now, 95.0)
+            values[f"pressure:{workload}"] = value if samples >= MIN_WORKLOAD_SAMPLES else None
+        return values
 
 
 def signal_names(workloads: tuple[str, ...]) -> list[str]:
-    """Return the names of all signals."""
-    return [*PLAIN, *(f"{kind}:{workload}" for kind in BY_WORKLOAD for workload in workloads)]
+    """Return the names of all signals, for these workloads."""
+    return [*FRONT_SIGNALS, *(f"{kind}:{workload}" for kind in WORKLOAD_SIGNALS for workload in workloads)]
