--- a/cometseam/limits/coordinator.py
+++ b/cometseam/limits/coordinator.py
@@ -82,54 +82,64 @@
         self.terms, self.token = terms, token
         self.front_records: dict[str, FrontRecord] = {}
         self._number = 0
-        self._forgotten: list[str] = []  # since `pop_removed_fronts` was last asked
+        self._removed_fronts: list[str] = []  # since `pop_removed_fronts` was last asked
 
     def pop_removed_fronts(self) -> list[str]:
         """Return the fronts that left since the last call: what was written for them may be removed."""
-        fronts, self._forgotten = self._forgotten, []
+        fronts, self._removed_fronts = self._removed_fronts, []
         return fronts
 
     def record_existing_grant(self, front: str, grant: CapacityGrant, now: float) -> None:
         """An earlier coordinator's grant stands on the service: in force perhaps, none knows since when."""
-        ends = now + self.terms.coordinator_grant_ttl
+        expires_at = now + self.terms.coordinator_grant_ttl
         order = (grant.token, grant.number)
-        until = ends + self.terms.window
-        written = IssuedGrant(
-            order, dict(grant.shares), None, None, ends, until, until + self.terms.reduced_period
+        counts_until = expires_at + self.terms.window
+        issued = IssuedGrant(
+            order,
+            dict(grant.shares),
+            None,
+            None,
+            expires_at,
+            counts_until,
+            counts_until + self.terms.reduced_period,
         )
         # What came before it counts as one that a front which has taken this one goes by no more.
-        before = IssuedGrant(
+        previous = IssuedGrant(
             (order[0], order[1] - 1),
             dict(grant.previous_max_shares),
             None,
             None,
-            ends,
-            until,
-            written.reduced_until,
+            expires_at,
+            counts_until,
+            issued.reduced_until,
         )
-        self.front_records.setdefault(front, FrontRecord(received_at=now)).issued_grants += [before, written]
+        self.front_records.setdefault(front, FrontRecord(received_at=now)).issued_grants += [previous, issued]
 
-    def record_report(self, front: str, ask: DemandReport, now: float) -> None:
+    def record_report(self, front: str, report: DemandReport, now: float) -> None:
         """A front's ask came in; one that is older than another heard already says nothing."""
-        member = self.front_records.setdefault(front, FrontRecord())
-        self._replace(front, now)
-        known = member.latest_report
-        if member.superseded or (
-            known is not None and ask.number <= known.number and ask.applied_grant <= known.applied_grant
+        record = self.front_records.setdefault(front, FrontRecord())
+        self._supersede_earlier(front, now)
+        known = record.latest_report
+        if record.superseded or (
+            known is not None
+            and report.number <= known.number
+            and report.applied_grant <= known.applied_grant
         ):
             return
-        if self._falls(member, now):
-            member.floor_until = now + self.terms.window
-        member.latest_report, member.received_at = ask, now
-        for one in member.issued_grants:
-            if one.order == ask.applied_grant:
-                member.report_sent_after = one.report_sent_after
-            elif one.order < ask.applied_grant:  # it goes by a newer one: this one ended, at the latest now
-                one.expires_at = min(one.expires_at, now)
-                one.counts_until = min(one.counts_until, now + self.terms.window)
-                one.reduced_until = min(one.reduced_until, now + self.terms.window)
-
-    def _replace(self, front: str, now: float) -> None:
+        if self._may_reach_floor(record, now):
+            record.floor_until = now + self.terms.window
+        record.latest_report, record.received_at = report, now
+        for issued in record.issued_grants:
+            if issued.order == report.applied_grant:
+                record.report_sent_after = issued.report_sent_after
+            elif (
+                issued.order < report.applied_grant
+            ):  # it goes by a newer one: this one ended, at the latest now
+                issued.expires_at = min(issued.expires_at, now)
+                issued.counts_until = min(issued.counts_until, now + self.terms.window)
+                issued.reduced_until = min(issued.reduced_until, now + self.terms.window)
+
+    def _supersede_earlier(self, front: str, now: float) -> None:
         """A process is known as `name.number`, the number growing with each start. One that is heard shows
         that those of its name before it have ended (two that run can't have one name: they would listen at
         one address), so what they may have used weighs for a window and no longer; else the parts of a fleet
@@ -138,17 +148,17 @@
         name, _, start = front.rpartition(".")
         if not name:
             return
-        for other, member in self.front_records.items():
-            its_name, _, its_start = other.rpartition(".")
-            if its_name == name and not member.superseded and int(its_start, 16) < int(start, 16):
-                member.superseded, member.latest_report = True, None
+        for other, record in self.front_records.items():
+            other_name, _, other_start = other.rpartition(".")
+            if other_name == name and not record.superseded and int(other_start, 16) < int(start, 16):
+                record.superseded, record.latest_report = True, None
                 until = now + self.terms.window
-                at_floor = self._falls(member, now) or now < member.floor_until
-                member.floor_until = until if at_floor else 0.0
-                for one in member.issued_grants:
-                    one.counts_until, one.reduced_until = (
-                        min(one.counts_until, until),
-                        min(one.reduced_until, until),
+                at_floor = self._may_reach_floor(record, now) or now < record.floor_until
+                record.floor_until = until if at_floor else 0.0
+                for issued in record.issued_grants:
+                    issued.counts_until, issued.reduced_until = (
+                        min(issued.counts_until, until),
+                        min(issued.reduced_until, until),
                     )
 
     def record_report_removed(self, front: str) -> None:
@@ -156,19 +166,19 @@
         if front in self.front_records:
             self.front_records[front].latest_report = None
 
-    def _forget(self, now: float) -> None:
-        for front, member in list(self.front_records.items()):
-            member.issued_grants = [one for one in member.issued_grants if one.reduced_until > now]
+    def _remove_inactive(self, now: float) -> None:
+        for front, record in list(self.front_records.items()):
+            record.issued_grants = [issued for issued in record.issued_grants if issued.reduced_until > now]
             if (
-                member.latest_report is not None
-                and now - member.received_at > self.terms.coordinator_grant_ttl
+                record.latest_report is not None
+                and now - record.received_at > self.terms.coordinator_grant_ttl
             ):
-                member.latest_report = None  # silent: what it asked for counts no more
-            if member.latest_report is None and not member.issued_grants and member.floor_until <= now:
+                record.latest_report = None  # silent: what it asked for counts no more
+            if record.latest_report is None and not record.issued_grants and record.floor_until <= now:
                 del self.front_records[front]
-                self._forgotten.append(front)
+                self._removed_fronts.append(front)
 
-    def _falls(self, member: FrontRecord, now: float) -> bool:
+    def _may_reach_floor(self, record: FrontRecord, now: float) -> bool:
         """Tell whether a front may go by the floor before a grant written now has surely ended.
 
         It falls back `front_grant_ttl` and `reduced_period` after it sent the ask that its newest grant
@@ -177,112 +187,122 @@
         the floor now.
         """
         terms = self.terms
-        if member.superseded:
+        if record.superseded:
             return False
-        if member.report_sent_after is None:
+        if record.report_sent_after is None:
             return True
         return (
             now + terms.coordinator_grant_ttl + terms.window
-            > member.report_sent_after + terms.below_floor_period
+            > record.report_sent_after + terms.below_floor_period
         )
 
-    def max_share(self, member: FrontRecord, name: str, now: float) -> float:
+    def max_share(self, record: FrontRecord, name: str, now: float) -> float:
         """The most of a limit that a front may be using, or come to use by itself while a grant written now
         holds."""
         floor, shares = self.terms.floor, []
-        for one in member.issued_grants:
-            share = one.shares.get(name, floor)
+        for issued in record.issued_grants:
+            share = issued.shares.get(name, floor)
             # A front that took this one last, and none since, goes on with it lean: none knows which it took.
-            if now < one.counts_until:
+            if now < issued.counts_until:
                 shares.append(share)
-            elif now < one.reduced_until:
+            elif now < issued.reduced_until:
                 shares.append(min(share, floor))
-        none = not shares and not member.superseded
-        if none or now < member.floor_until or self._falls(member, now):
+        at_floor = not shares and not record.superseded
+        if at_floor or now < record.floor_until or self._may_reach_floor(record, now):
             shares.append(floor)
         return max(shares, default=0.0)
 
     def committed_share(self, name: str, now: float) -> float:
         """The part of a limit that is spoken for: used, or kept free for fronts that are not heard of."""
-        unheard = self._unheard()
+        unreported = self._unreported_count()
         return (
-            sum(self.max_share(m, name, now) for m in self.front_records.values())
-            + unheard * self.terms.floor
+            sum(self.max_share(r, name, now) for r in self.front_records.values())
+            + unreported * self.terms.floor
         )
 
-    def _unheard(self) -> int:
+    def _unreported_count(self) -> int:
         """How many fronts are expected and not heard of."""
-        heard = sum(not member.superseded for member in self.front_records.values())
-        return max(self.terms.expected_fronts - heard, 0)
+        reported = sum(not record.superseded for record in self.front_records.values())
+        return max(self.terms.expected_fronts - reported, 0)
 
     def allocate(self, now: float) -> dict[str, CapacityGrant]:
         """Return the grants to write now, one for each front that asks; each counts from now on, written or
         not (an answer that is lost leaves it unknown)."""
-        self._forget(now)
-        asking = {
-            front: m
-            for front, m in self.front_records.items()
-            if m.latest_report is not None and m.latest_report.demands
+        self._remove_inactive(now)
+        requesting = {
+            front: r
+            for front, r in self.front_records.items()
+            if r.latest_report is not None and r.latest_report.demands
         }
         names = sorted(
             {
                 name
-                for member in asking.values()
-                if member.latest_report
-                for name in member.latest_report.demands
+                for record in requesting.values()
+                if record.latest_report
+                for name in record.latest_report.demands
             }
         )
-        shares: dict[str, dict[str, float]] = {front: {} for front in asking}
+        shares: dict[str, dict[str, float]] = {front: {} for front in requesting}
         for name in names:
-            for front, share in self._out(name, asking, now):
+            for front, share in self._allocate_limit(name, requesting, now):
                 shares[front][name] = share
         grants: dict[str, CapacityGrant] = {}
-        for front, member in asking.items():
-            assert member.latest_report is not None
+        for front, record in requesting.items():
+            assert record.latest_report is not None
             self._number += 1
-            earlier = {
-                name: max(one.shares.get(name, self.terms.floor) for one in member.issued_grants)
-                for name in {name for one in member.issued_grants for name in one.shares}
+            previous_max_shares = {
+                name: max(issued.shares.get(name, self.terms.floor) for issued in record.issued_grants)
+                for name in {name for issued in record.issued_grants for name in issued.shares}
             }
             grants[front] = CapacityGrant(
-                self.token, self._number, member.latest_report.number, shares[front], earlier
+                self.token, self._number, record.latest_report.number, shares[front], previous_max_shares
             )
-            ends = now + self.terms.coordinator_grant_ttl
+            expires_at = now + self.terms.coordinator_grant_ttl
             order = (self.token, self._number)
-            until = ends + self.terms.window
-            lean = until + self.terms.reduced_period
-            named = (
-                one.issued_at
-                for one in member.issued_grants
-                if one.order == member.latest_report.applied_grant
+            counts_until = expires_at + self.terms.window
+            reduced_until = counts_until + self.terms.reduced_period
+            applied_issued_at = (
+                issued.issued_at
+                for issued in record.issued_grants
+                if issued.order == record.latest_report.applied_grant
             )
-            member.issued_grants.append(
-                IssuedGrant(order, shares[front], now, next(named, None), ends, until, lean)
+            record.issued_grants.append(
+                IssuedGrant(
+                    order,
+                    shares[front],
+                    now,
+                    next(applied_issued_at, None),
+                    expires_at,
+                    counts_until,
+                    reduced_until,
+                )
             )
         return grants
 
-    def _out(self, name: str, asking: dict[str, FrontRecord], now: float) -> Iterable[tuple[str, float]]:
+    def _allocate_limit(
+        self, name: str, requesting: dict[str, FrontRecord], now: float
+    ) -> Iterable[tuple[str, float]]:
         """Share one limit out among the fronts that ask for it."""
         floor = self.terms.floor
-        wishes = {
-            f: m.latest_report.demands[name]
-            for f, m in asking.items()
-            if m.latest_report and name in m.latest_report.demands
+        demands = {
+            f: r.latest_report.demands[name]
+            for f, r in requesting.items()
+            if r.latest_report and name in r.latest_report.demands
         }
-        others = [m for f, m in self.front_records.items() if f not in wishes]
-        unheard = self._unheard()
-        spoken = sum(self.max_share(m, name, now) for m in others) + unheard * floor
-        targets = max_min_fair_shares(wishes, max(1.0 - spoken, 0.0))
-        uses = {front: self.max_share(asking[front], name, now) for front in wishes}
-        total = sum(uses.values()) + spoken
+        others = [r for f, r in self.front_records.items() if f not in demands]
+        unreported = self._unreported_count()
+        reserved = sum(self.max_share(r, name, now) for r in others) + unreported * floor
+        targets = max_min_fair_shares(demands, max(1.0 - reserved, 0.0))
+        max_shares = {front: self.max_share(requesting[front], name, now) for front in demands}
+        total = sum(max_shares.values()) + reserved
         # What is free is split among those that are to get more, by how much more: served one after the
         # other, many that come and go would leave nothing to a few that need much.
-        more = {front: max(targets[front] - uses[front], 0.0) for front in wishes}
-        part = min(max(1.0 - total, 0.0) / max(sum(more.values()), 1e-9), 1.0)
-        over = max(total - 1.0, 0.0)
-        for front in sorted(wishes):
-            own = [w.shares.get(name, floor) for w in asking[front].issued_grants if w.counts_until > now]
+        missing = {front: max(targets[front] - max_shares[front], 0.0) for front in demands}
+        ratio = min(max(1.0 - total, 0.0) / max(sum(missing.values()), 1e-9), 1.0)
+        excess = max(total - 1.0, 0.0)
+        for front in sorted(demands):
+            own = [i.shares.get(name, floor) for i in requesting[front].issued_grants if i.counts_until > now]
             current = min(own, default=floor)
             # It may always go on with what it has, up to the floor: it was its own before anybody asked.
-            most = max(uses[front] - over + part * more[front], min(current, floor))
-            yield front, min(targets[front], most)
+            max_allowed = max(max_shares[front] - excess + ratio * missing[front], min(current, floor))
+            yield front, min(targets[front], max_allowed)
--- a/cometseam/limits/front_share.py
+++ b/cometseam/limits/front_share.py
@@ -18,8 +18,8 @@
 from cometseam.limits.coordinator import CapacityGrant, DemandReport
 from cometseam.limits.terms import SharingTerms
 
-REMEMBERED = 32  # asks whose time of sending is remembered; a grant that answers an older one has ended
-MOST = 1024  # limits asked for at once; past that the smallest wishes are left out
+MAX_SENT_TIMES = 32  # asks whose time of sending is remembered; a grant that answers an older one has ended
+MAX_LIMITS = 1024  # limits asked for at once; past that the smallest wishes are left out
 
 
 @dataclass(slots=True)
@@ -38,73 +38,73 @@
     stale_grants: int = 0  # grants passed over
     late_grants: int = 0  # grants that came after their own end
     clock_regressions: int = 0  # times that the clock was seen to go back
-    _seen: float = 0.0
-    _sent: "OrderedDict[int, float]" = field(default_factory=OrderedDict)
-    _held: dict[str, ActiveGrant] = field(default_factory=dict)
+    _last_now: float = 0.0
+    _sent_at: "OrderedDict[int, float]" = field(default_factory=OrderedDict)
+    _active_grants: dict[str, ActiveGrant] = field(default_factory=dict)
 
-    def make_report(self, wishes: dict[str, float], now: float) -> DemandReport:
+    def make_report(self, demands: dict[str, float], now: float) -> DemandReport:
         """Make the next ask, to be sent now; wishes are parts of each limit, 0 to 1."""
-        self._look(now)
+        self._check_clock(now)
         self.report_number += 1
-        self._sent[self.report_number] = now
-        while len(self._sent) > REMEMBERED:
-            self._sent.popitem(last=False)
-        if len(wishes) > MOST:
-            wishes = dict(sorted(wishes.items(), key=lambda item: -item[1])[:MOST])
-        told = {name: min(max(wish, 0.0), 1.0) for name, wish in wishes.items()}
-        return DemandReport(self.report_number, self.applied_grant, told)
+        self._sent_at[self.report_number] = now
+        while len(self._sent_at) > MAX_SENT_TIMES:
+            self._sent_at.popitem(last=False)
+        if len(demands) > MAX_LIMITS:
+            demands = dict(sorted(demands.items(), key=lambda item: -item[1])[:MAX_LIMITS])
+        clamped = {name: min(max(demand, 0.0), 1.0) for name, demand in demands.items()}
+        return DemandReport(self.report_number, self.applied_grant, clamped)
 
     def apply_grant(self, grant: CapacityGrant, now: float) -> bool:
         """Take a grant in; return whether it counts. One that counts is told back in the next ask
         (`applied_grant`)."""
-        self._look(now)
+        self._check_clock(now)
         if (grant.token, grant.number) <= self.applied_grant:
             self.stale_grants += 1
             return False
-        sent = self._sent.get(grant.report_number)
-        if sent is None or now >= sent + self.terms.front_grant_ttl or now < sent:
+        sent_at = self._sent_at.get(grant.report_number)
+        if sent_at is None or now >= sent_at + self.terms.front_grant_ttl or now < sent_at:
             # Too old, or from before a restart or a turn of the clock: when is not known.
             self.late_grants += 1
             return False
         self.applied_grant = (grant.token, grant.number)
         for name, share in grant.shares.items():
-            self._held[name] = ActiveGrant(share, sent + self.terms.front_grant_ttl)
-        for name in [name for name in self._held if name not in grant.shares]:
+            self._active_grants[name] = ActiveGrant(share, sent_at + self.terms.front_grant_ttl)
+        for name in [name for name in self._active_grants if name not in grant.shares]:
             # No longer shared out to this front: it ends now, and what it lacked to the floor comes later.
-            self._held[name].expires_at = min(self._held[name].expires_at, now)
+            self._active_grants[name].expires_at = min(self._active_grants[name].expires_at, now)
         return True
 
     def current_share(self, name: str, now: float) -> float:
         """Tell this front's share of a limit now."""
-        self._look(now)
-        floor, held = self.terms.floor, self._held.get(name)
-        if held is None:
+        self._check_clock(now)
+        floor, active = self.terms.floor, self._active_grants.get(name)
+        if active is None:
             return floor
-        if now < held.expires_at:
-            return held.share
-        if now < held.expires_at + self.terms.reduced_period:
-            return min(held.share, floor)
-        del self._held[name]
+        if now < active.expires_at:
+            return active.share
+        if now < active.expires_at + self.terms.reduced_period:
+            return min(active.share, floor)
+        del self._active_grants[name]
         return floor
 
-    def _look(self, now: float) -> None:
+    def _check_clock(self, now: float) -> None:
         """Take in the time. Guards against a clock that goes back: by it every grant would hold for longer,
         and what was sent before can't be told from what was sent since. All grants end here and now."""
-        if now < self._seen:
+        if now < self._last_now:
             self.clock_regressions += 1
-            self._sent.clear()
-            for held in self._held.values():
-                held.expires_at = min(held.expires_at, now)
-        self._seen = now
+            self._sent_at.clear()
+            for active in self._active_grants.values():
+                active.expires_at = min(active.expires_at, now)
+        self._last_now = now
 
     def next_change_at(self, name: str, now: float) -> float:
         """Tell when this front's share of a limit changes by itself, if nothing is granted: the grant's end,
         then that of its lean time; `now` where it holds none."""
-        held = self._held.get(name)
-        if held is None:
+        active = self._active_grants.get(name)
+        if active is None:
             return now
-        return held.expires_at if now < held.expires_at else held.expires_at + self.terms.reduced_period
+        return active.expires_at if now < active.expires_at else active.expires_at + self.terms.reduced_period
 
     def limit_names(self) -> list[str]:
         """The limits of which this front's share may differ from the floor."""
-        return list(self._held)
+        return list(self._active_grants)
