--- a/cometseam/limits/__init__.py
+++ b/cometseam/limits/__init__.py
@@ -1,4 +1,7 @@
-"""Limits that hold for the whole fleet, shared out among its fronts; without I/O. The public door."""
+"""Divides fleet-wide limits among the fronts: demand reports, capacity grants and the shares that follow.
+
+The package does no I/O; `cometseam.coordination` carries its reports and grants.
+"""
 
 from cometseam.limits.coordinator import CapacityGrant, Coordinator, DemandReport
 from cometseam.limits.fair import max_min_fair_shares
--- a/cometseam/limits/coordinator.py
+++ b/cometseam/limits/coordinator.py
@@ -1,18 +1,20 @@
-"""The coordinator's decisions: how a limit is shared out among the fronts that ask for it. Without I/O.
+"""The coordinator's decisions: how a limit is divided among the fronts that report demand. Without I/O.
 
-Held by one front at a time (the task `limits`, under its fencing token). At every share-out it knows of each
-front the most that it may still be using: the grants written for it that may be in force, and the floor
-where it may have fallen back to that. What it gives out anew never lifts the sum of those above the limit:
+One front at a time is the coordinator (the owner of the task `limits`, under its fencing token). At every
+allocation it knows for each front the largest share that the front may still be using: that of the grants
+issued to it that may be valid, and the floor where the front may have fallen back to it. A new grant never
+lifts the sum of those above the limit:
 
-    for each front:  new share <= limit - sum over all others of the most that they may be using
+    for each front:  new share <= limit - sum over all others of their largest possible share
 
-A grant counts until it surely ended (`coordinator_grant_ttl` ms after it was written, by this clock), or
-until the front said that it goes by a newer one, and for `window` ms more, in which what it let through still
-weighs. Fronts that are not heard of keep the floor free for themselves, up to `expected_fronts` fronts.
+A grant counts until it has certainly expired (`coordinator_grant_ttl` ms after it was issued, by this
+clock), or until the front reported that it applied a newer one, and for `window` ms more, in which the
+requests sent under it still count. For fronts that have not reported, the floor is reserved, up to
+`expected_fronts` fronts.
 
-A new coordinator reads the grants that stand on the service. Its fence (each grant is written in one
-transaction with the check of the task's owner) makes those all that there can be; when they were written it
-does not know, so it counts each from now.
+A new coordinator reads the grants stored on the service. Each grant is written in one transaction with the
+check of the task's owner, so these are all that can exist; when they were issued is not known, so each is
+counted from now.
 """
 
 from collections.abc import Iterable
@@ -24,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """A front's ask: its number, the newest grant that it goes by (token, number), its wishes by limit."""
+    """A front's report: its number, the newest grant it applied (token, number), its demands by limit."""
 
     number: int
     applied_grant: tuple[int, int]
@@ -33,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityGrant:
-    """What a front may use: by token and number of its coordinator, in answer to one of its asks.
+    """The shares that a front may use: token and number of its coordinator, the report that it answers.
 
-    `previous_max_shares`: the most that grants before it gave, where the front may not have taken this one
-    yet. A grant takes the place of the one before on the service, so a new coordinator would else not know of
-    that.
+    `previous_max_shares`: the largest shares of the grants before it, where the front may not have applied
+    this one yet. A grant overwrites the one before it on the service, so a new coordinator could not learn of
+    those otherwise.
     """
 
     token: int
@@ -49,48 +51,48 @@
 
 @dataclass(slots=True)
 class IssuedGrant:
-    """A grant that may be in force."""
+    """A grant that may be valid."""
 
     order: tuple[int, int]
     shares: dict[str, float]
-    issued_at: float | None  # when it was written; None where an earlier coordinator did so
-    # When the grant was written that the ask which this one answers named as taken: it was sent after that.
+    issued_at: float | None  # None where an earlier coordinator issued it
+    # When the grant was issued that the answered report named as applied: the report was sent after that.
     report_sent_after: float | None
-    expires_at: float  # when it surely ended
-    counts_until: float  # and when what it let through counts no more
-    # And the same of the lean time after it, of a front that took it last and none since.
+    expires_at: float  # when it has certainly expired
+    counts_until: float  # when the requests sent under it count no more
+    # The same for the reduced period after it, of a front that applied this grant last.
     reduced_until: float
 
 
 @dataclass(slots=True)
 class FrontRecord:
-    """A front that was heard of; it leaves when it is silent and nothing written for it counts."""
+    """A front that has reported; removed when its reports stop and nothing issued to it counts."""
 
     latest_report: DemandReport | None = None
     received_at: float = 0.0
     issued_grants: list[IssuedGrant] = field(default_factory=list)
-    report_sent_after: float | None = None  # of the newest grant that it surely took; None: not known
-    floor_until: float = 0.0  # until when what it sent by the floor may still weigh
-    superseded: bool = False  # a later process of the same name was heard: this one is no more
+    report_sent_after: float | None = None  # of the newest grant that it certainly applied; None: unknown
+    floor_until: float = 0.0  # until when requests that it sent at the floor may still count
+    superseded: bool = False  # a later process of the same name has reported: this one has ended
 
 
 class Coordinator:
-    """Shares limits out; `token` is the fencing token under which its grants are written."""
+    """Divides limits among fronts; `token` is the fencing token under which its grants are written."""
 
     def __init__(self, terms: SharingTerms, token: int) -> None:
         terms.check()
         self.terms, self.token = terms, token
         self.front_records: dict[str, FrontRecord] = {}
         self._number = 0
-        self._removed_fronts: list[str] = []  # since `pop_removed_fronts` was last asked
+        self._removed_fronts: list[str] = []  # since the last call of `pop_removed_fronts`
 
     def pop_removed_fronts(self) -> list[str]:
-        """Return the fronts that left since the last call: what was written for them may be removed."""
+        """Return the fronts removed since the last call: their stored grants may be deleted."""
         fronts, self._removed_fronts = self._removed_fronts, []
         return fronts
 
     def record_existing_grant(self, front: str, grant: CapacityGrant, now: float) -> None:
-        """An earlier coordinator's grant stands on the service: in force perhaps, none knows since when."""
+        """Record a grant of an earlier coordinator: it may be valid, and its issue time is not known."""
         expires_at = now + self.terms.coordinator_grant_ttl
         order = (grant.token, grant.number)
         counts_until = expires_at + self.terms.window
@@ -103,7 +105,7 @@
             counts_until,
             counts_until + self.terms.reduced_period,
         )
-        # What came before it counts as one that a front which has taken this one goes by no more.
+        # The grants before it are recorded as one that a front no longer uses once it has applied this one.
         previous = IssuedGrant(
             (order[0], order[1] - 1),
             dict(grant.previous_max_shares),
@@ -116,7 +118,7 @@
         self.front_records.setdefault(front, FrontRecord(received_at=now)).issued_grants += [previous, issued]
 
     def record_report(self, front: str, report: DemandReport, now: float) -> None:
-        """A front's ask came in; one that is older than another heard already says nothing."""
+        """Record a front's report; one that is older than a report already received is ignored."""
         record = self.front_records.setdefault(front, FrontRecord())
         self._supersede_earlier(front, now)
         known = record.latest_report
@@ -132,18 +134,19 @@
         for issued in record.issued_grants:
             if issued.order == report.applied_grant:
                 record.report_sent_after = issued.report_sent_after
-            elif (
-                issued.order < report.applied_grant
-            ):  # it goes by a newer one: this one ended, at the latest now
+            elif issued.order < report.applied_grant:  # replaced by a newer one, at the latest now
                 issued.expires_at = min(issued.expires_at, now)
                 issued.counts_until = min(issued.counts_until, now + self.terms.window)
                 issued.reduced_until = min(issued.reduced_until, now + self.terms.window)
 
     def _supersede_earlier(self, front: str, now: float) -> None:
-        """A process is known as `name.number`, the number growing with each start. One that is heard shows
-        that those of its name before it have ended (two that run can't have one name: they would listen at
-        one address), so what they may have used weighs for a window and no longer; else the parts of a fleet
-        that was restarted would stay with the dead until their grants and lean times were over.
+        """Mark the earlier processes of a front's name as ended.
+
+        A process is known as `name.number`, and the number grows with each start. A report of one shows that
+        those of its name before it have ended (two running processes can't share a name: they would listen at
+        one address), so what they may have used counts for one window and no longer. Otherwise the shares of
+        a restarted fleet would stay reserved for ended processes until their grants and reduced periods were
+        over.
         """
         name, _, start = front.rpartition(".")
         if not name:
@@ -162,7 +165,7 @@
                     )
 
     def record_report_removed(self, front: str) -> None:
-        """A front's ask is gone from the service: it ended, or is cut off. What was written still counts."""
+        """Record that a report left the service: its front ended or is cut off. Its grants still count."""
         if front in self.front_records:
             self.front_records[front].latest_report = None
 
@@ -173,18 +176,18 @@
                 record.latest_report is not None
                 and now - record.received_at > self.terms.coordinator_grant_ttl
             ):
-                record.latest_report = None  # silent: what it asked for counts no more
+                record.latest_report = None  # no newer report: its demand counts no more
             if record.latest_report is None and not record.issued_grants and record.floor_until <= now:
                 del self.front_records[front]
                 self._removed_fronts.append(front)
 
     def _may_reach_floor(self, record: FrontRecord, now: float) -> bool:
-        """Tell whether a front may go by the floor before a grant written now has surely ended.
+        """Return whether a front may use the floor before a grant issued now has certainly expired.
 
-        It falls back `front_grant_ttl` and `reduced_period` after it sent the ask that its newest grant
-        answers. When that was is known by its own clock alone; but the ask named a grant that it had taken
-        before, so it was sent after that one was written. Where no such chain is known, the front may be at
-        the floor now.
+        It falls back `front_grant_ttl` and `reduced_period` after it sent the report that its newest grant
+        answers. Only its own clock knows when that was; but the report named a grant that the front had
+        applied before, so it was sent after that grant was issued. Where no such chain is known, the front
+        may be at the floor now.
         """
         terms = self.terms
         if record.superseded:
@@ -197,12 +200,13 @@
         )
 
     def max_share(self, record: FrontRecord, name: str, now: float) -> float:
-        """The most of a limit that a front may be using, or come to use by itself while a grant written now
-        holds."""
+        """Return the largest share of a limit that a front may be using, or may come to use without a new
+        grant while one issued now is valid."""
         floor, shares = self.terms.floor, []
         for issued in record.issued_grants:
             share = issued.shares.get(name, floor)
-            # A front that took this one last, and none since, goes on with it lean: none knows which it took.
+            # A front that applied this grant last keeps it in the reduced period; which one it applied last
+            # is not known.
             if now < issued.counts_until:
                 shares.append(share)
             elif now < issued.reduced_until:
@@ -213,7 +217,7 @@
         return max(shares, default=0.0)
 
     def committed_share(self, name: str, now: float) -> float:
-        """The part of a limit that is spoken for: used, or kept free for fronts that are not heard of."""
+        """Return the share of a limit that is in use, or reserved for fronts that have not reported."""
         unreported = self._unreported_count()
         return (
             sum(self.max_share(r, name, now) for r in self.front_records.values())
@@ -221,13 +225,15 @@
         )
 
     def _unreported_count(self) -> int:
-        """How many fronts are expected and not heard of."""
+        """How many fronts are expected and have not reported."""
         reported = sum(not record.superseded for record in self.front_records.values())
         return max(self.terms.expected_fronts - reported, 0)
 
     def allocate(self, now: float) -> dict[str, CapacityGrant]:
-        """Return the grants to write now, one for each front that asks; each counts from now on, written or
-        not (an answer that is lost leaves it unknown)."""
+        """Return the grants to write now, one for each front that reports demand.
+
+        Each counts from now on, whether or not it gets written: a lost answer leaves that unknown.
+        """
         self._remove_inactive(now)
         requesting = {
             front: r
@@ -282,7 +288,7 @@
     def _allocate_limit(
         self, name: str, requesting: dict[str, FrontRecord], now: float
     ) -> Iterable[tuple[str, float]]:
-        """Share one limit out among the fronts that ask for it."""
+        """Divide one limit among the fronts that report demand for it."""
         floor = self.terms.floor
         demands = {
             f: r.latest_report.demands[name]
@@ -295,14 +301,14 @@
         targets = max_min_fair_shares(demands, max(1.0 - reserved, 0.0))
         max_shares = {front: self.max_share(requesting[front], name, now) for front in demands}
         total = sum(max_shares.values()) + reserved
-        # What is free is split among those that are to get more, by how much more: served one after the
-        # other, many that come and go would leave nothing to a few that need much.
+        # Free capacity is split in proportion to each front's missing share: served one after the other, many
+        # fronts that come and go would leave nothing to a few that need much.
         missing = {front: max(targets[front] - max_shares[front], 0.0) for front in demands}
         ratio = min(max(1.0 - total, 0.0) / max(sum(missing.values()), 1e-9), 1.0)
         excess = max(total - 1.0, 0.0)
         for front in sorted(demands):
             own = [i.shares.get(name, floor) for i in requesting[front].issued_grants if i.counts_until > now]
             current = min(own, default=floor)
-            # It may always go on with what it has, up to the floor: it was its own before anybody asked.
+            # It may always keep what it has, up to the floor, which needs no grant.
             max_allowed = max(max_shares[front] - excess + ratio * missing[front], min(current, floor))
             yield front, min(targets[front], max_allowed)
--- a/cometseam/limits/fair.py
+++ b/cometseam/limits/fair.py
@@ -1,14 +1,14 @@
-"""Fair shares: who gets what of a limit, by what each wishes for."""
+"""Max-min fair division of a capacity by demand."""
 
 from collections.abc import Mapping
 
 
 def max_min_fair_shares(demands: Mapping[str, float], capacity: float) -> dict[str, float]:
-    """Share `whole` out by max-min fairness: nobody gets more while somebody with less goes short.
+    """Divide `capacity` by max-min fairness: no share grows while a smaller one is below its demand.
 
-    Wishes that all fit are met, and what is left over goes out on top of them by the wishes (equally where
-    nobody wishes for anything): a front whose demand grows is there sooner, and an idle one ties nothing up.
-    Returns a share for each name; their sum is `whole` (0 for no names or nothing to share).
+    Where all demands fit, they are met and the remainder is added in proportion to them (equally where all
+    demands are 0): a front whose demand grows reaches its share sooner, and an idle front reserves nothing.
+    Returns a share for each name; their sum is `capacity` (0 for no names or no capacity).
     """
     if not demands or capacity <= 0.0:
         return dict.fromkeys(demands, 0.0)
--- a/cometseam/limits/front_share.py
+++ b/cometseam/limits/front_share.py
@@ -1,15 +1,15 @@
-"""A front's side of a shared limit: what it asks for, and what it may use now. Without I/O.
+"""A front's side of a shared limit: the demand it reports and the share it may use now. Without I/O.
 
 Its share of a limit at a time is
 
-- a grant's, until `front_grant_ttl` ms after it *sent* the ask that the grant answers (never from when the
-  grant came);
-- then, for `reduced_period` ms, the lesser of that and the floor;
-- else the floor, `1 / expected_fronts`.
+- the granted share, until `front_grant_ttl` ms after the front *sent* the report that the grant answers (not
+  after the grant arrived);
+- then, for `reduced_period` ms, the smaller of that share and the floor;
+- otherwise the floor, `1 / expected_fronts`.
 
-So a front that loses the service, is paused or starts anew needs nobody to know what it may do. Grants are
-numbered by their coordinator, and coordinators by their fencing token: one that is not newer is passed over,
-so that a coordinator that woke late changes nothing.
+So a front that loses the service, is paused or has just started knows its share without communication. Grants
+are numbered by their coordinator, and coordinators by their fencing token; a grant that is not newer than the
+last applied one is ignored, so a coordinator that resumes late changes nothing.
 """
 
 from collections import OrderedDict
@@ -18,8 +18,8 @@
 from cometseam.limits.coordinator import CapacityGrant, DemandReport
 from cometseam.limits.terms import SharingTerms
 
-MAX_SENT_TIMES = 32  # asks whose time of sending is remembered; a grant that answers an older one has ended
-MAX_LIMITS = 1024  # limits asked for at once; past that the smallest wishes are left out
+MAX_SENT_TIMES = 32  # reports whose send time is kept; a grant that answers an older one has expired
+MAX_LIMITS = 1024  # limits in one report; beyond that the smallest demands are left out
 
 
 @dataclass(slots=True)
@@ -30,20 +30,20 @@
 
 @dataclass(slots=True)
 class FrontShares:
-    """One front's shares; a limit leaves the table once its lean time is over."""
+    """One front's shares; a limit leaves the table when its reduced period is over."""
 
     terms: SharingTerms
-    report_number: int = 0  # of the last ask
-    applied_grant: tuple[int, int] = (0, 0)  # token and number of the newest grant taken
-    stale_grants: int = 0  # grants passed over
-    late_grants: int = 0  # grants that came after their own end
+    report_number: int = 0  # of the last report
+    applied_grant: tuple[int, int] = (0, 0)  # token and number of the newest grant applied
+    stale_grants: int = 0  # grants ignored because they were not newer
+    late_grants: int = 0  # grants that arrived after they had expired
     clock_regressions: int = 0  # times that the clock was seen to go back
     _last_now: float = 0.0
     _sent_at: "OrderedDict[int, float]" = field(default_factory=OrderedDict)
     _active_grants: dict[str, ActiveGrant] = field(default_factory=dict)
 
     def make_report(self, demands: dict[str, float], now: float) -> DemandReport:
-        """Make the next ask, to be sent now; wishes are parts of each limit, 0 to 1."""
+        """Make the next report, to be sent now; demands are fractions of each limit, 0 to 1."""
         self._check_clock(now)
         self.report_number += 1
         self._sent_at[self.report_number] = now
@@ -55,7 +55,7 @@
         return DemandReport(self.report_number, self.applied_grant, clamped)
 
     def apply_grant(self, grant: CapacityGrant, now: float) -> bool:
-        """Take a grant in; return whether it counts. One that counts is told back in the next ask
+        """Apply a grant; return whether it was valid. The next report acknowledges a valid one
         (`applied_grant`)."""
         self._check_clock(now)
         if (grant.token, grant.number) <= self.applied_grant:
@@ -63,19 +63,19 @@
             return False
         sent_at = self._sent_at.get(grant.report_number)
         if sent_at is None or now >= sent_at + self.terms.front_grant_ttl or now < sent_at:
-            # Too old, or from before a restart or a turn of the clock: when is not known.
+            # Expired, or from before a restart or a clock regression: the send time is not known.
             self.late_grants += 1
             return False
         self.applied_grant = (grant.token, grant.number)
         for name, share in grant.shares.items():
             self._active_grants[name] = ActiveGrant(share, sent_at + self.terms.front_grant_ttl)
         for name in [name for name in self._active_grants if name not in grant.shares]:
-            # No longer shared out to this front: it ends now, and what it lacked to the floor comes later.
+            # No longer granted to this front: it expires now, and the reduced period begins.
             self._active_grants[name].expires_at = min(self._active_grants[name].expires_at, now)
         return True
 
     def current_share(self, name: str, now: float) -> float:
-        """Tell this front's share of a limit now."""
+        """Return this front's share of a limit now."""
         self._check_clock(now)
         floor, active = self.terms.floor, self._active_grants.get(name)
         if active is None:
@@ -88,8 +88,11 @@
         return floor
 
     def _check_clock(self, now: float) -> None:
-        """Take in the time. Guards against a clock that goes back: by it every grant would hold for longer,
-        and what was sent before can't be told from what was sent since. All grants end here and now."""
+        """Record the time, and expire all grants if the clock went back.
+
+        By such a clock every grant would be valid for longer, and what was sent before the regression can't
+        be told from what was sent after it.
+        """
         if now < self._last_now:
             self.clock_regressions += 1
             self._sent_at.clear()
@@ -98,8 +101,8 @@
         self._last_now = now
 
     def next_change_at(self, name: str, now: float) -> float:
-        """Tell when this front's share of a limit changes by itself, if nothing is granted: the grant's end,
-        then that of its lean time; `now` where it holds none."""
+        """Return when this front's share of a limit changes without a further grant: when the grant expires,
+        then when its reduced period ends; `now` where there is no grant."""
         active = self._active_grants.get(name)
         if active is None:
             return now
