--- a/cometseam/verdicts/prober.py
+++ b/cometseam/verdicts/prober.py
@@ -73,13 +73,13 @@
 
     def update_caches(self, caches: Iterable[str], now: float) -> None:
         """Take the list of caches in: new ones are probed within an interval, those that left are dropped."""
-        wanted = set(caches)
-        for cache in self.health_by_cache.keys() - wanted:
+        listed = set(caches)
+        for cache in self.health_by_cache.keys() - listed:
             del self.health_by_cache[cache]
-        for cache in wanted - self.health_by_cache.keys():
-            self.health_by_cache[cache] = CacheHealth(now + self._phase(cache))
+        for cache in listed - self.health_by_cache.keys():
+            self.health_by_cache[cache] = CacheHealth(now + self._probe_offset(cache))
 
-    def _phase(self, cache: str) -> float:
+    def _probe_offset(self, cache: str) -> float:
         digest = blake2b(cache.encode(), digest_size=8).digest()
         return self.terms.interval * int.from_bytes(digest, "big") / 2.0**64
 
@@ -93,44 +93,45 @@
         # Anew: a probe that is out from an earlier time counts for nothing.
         for cache in self.health_by_cache:
             self.health_by_cache[cache] = CacheHealth(
-                now + self._phase(cache), bad=cache in bad, evidence_since=bad.get(cache, now)
+                now + self._probe_offset(cache), bad=cache in bad, evidence_since=bad.get(cache, now)
             )
             self.health_by_cache[cache].consecutive_failures = self.terms.fails if cache in bad else 0
 
     def start_due_probes(self, now: float) -> list[str]:
         """Tell which caches to probe now; each is out until `record_probe_result`."""
-        room = self.terms.most_out - sum(case.in_flight for case in self.health_by_cache.values())
-        ready = sorted(
-            (c.next_probe_at, name)
-            for name, c in self.health_by_cache.items()
-            if not c.in_flight and c.next_probe_at <= now
+        room = self.terms.most_out - sum(health.in_flight for health in self.health_by_cache.values())
+        due = sorted(
+            (h.next_probe_at, name)
+            for name, h in self.health_by_cache.items()
+            if not h.in_flight and h.next_probe_at <= now
         )
-        for _, name in ready[: max(room, 0)]:
-            case = self.health_by_cache[name]
+        for _, name in due[: max(room, 0)]:
+            health = self.health_by_cache[name]
             # The rhythm stays, whatever a probe takes; what was missed (a pause) is not made up for.
-            case.next_probe_at = max(
-                case.next_probe_at + self.terms.interval, now + 0.5 * self.terms.interval
+            health.next_probe_at = max(
+                health.next_probe_at + self.terms.interval, now + 0.5 * self.terms.interval
             )
-            case.in_flight = True
-            if not case.consecutive_failures:
-                case.evidence_since = now
+            health.in_flight = True
+            if not health.consecutive_failures:
+                health.evidence_since = now
             self.probes_started += 1
-        return [name for _, name in ready[: max(room, 0)]]
+        return [name for _, name in due[: max(room, 0)]]
 
     def next_probe_at(self) -> float | None:
         """Tell when the next probe is due; None where none is."""
         return min(
-            (case.next_probe_at for case in self.health_by_cache.values() if not case.in_flight), default=None
+            (health.next_probe_at for health in self.health_by_cache.values() if not health.in_flight),
+            default=None,
         )
 
-    def record_probe_result(self, cache: str, well: bool) -> None:
+    def record_probe_result(self, cache: str, succeeded: bool) -> None:
         """A probe has ended: answered in time, or not."""
-        case = self.health_by_cache.get(cache)
-        if case is None or not case.in_flight:
+        health = self.health_by_cache.get(cache)
+        if health is None or not health.in_flight:
             return  # it left the list meanwhile, or this front became the prober anew
-        case.in_flight = False
-        case.consecutive_failures, case.consecutive_successes = (
-            (0, case.consecutive_successes + 1) if well else (case.consecutive_failures + 1, 0)
+        health.in_flight = False
+        health.consecutive_failures, health.consecutive_successes = (
+            (0, health.consecutive_successes + 1) if succeeded else (health.consecutive_failures + 1, 0)
         )
 
     def pop_due_verdicts(self, now: float) -> list[CacheVerdict]:
@@ -139,36 +140,38 @@
         # One failure counts here: probes are spread over the interval, so when the first cache has failed
         # twice each other one has been asked since. Else a prober that is cut off would rule against the
         # first half of the caches before it begins to doubt itself. (So `fails` is 2 at least.)
-        failing = sum(case.consecutive_failures > 0 for case in self.health_by_cache.values())
-        doubt = failing > terms.most_bad * len(self.health_by_cache)
-        out = []
-        for cache, case in self.health_by_cache.items():
-            if case.bad and case.consecutive_successes >= terms.passes:
-                case.bad, case.published_at = False, None
-                out.append(self._rule(cache, case))
-            elif case.consecutive_failures >= terms.fails and (not case.bad or self._fades(case, now)):
-                if doubt:
+        failing = sum(health.consecutive_failures > 0 for health in self.health_by_cache.values())
+        too_many_failing = failing > terms.most_bad * len(self.health_by_cache)
+        verdicts = []
+        for cache, health in self.health_by_cache.items():
+            if health.bad and health.consecutive_successes >= terms.passes:
+                health.bad, health.published_at = False, None
+                verdicts.append(self._make_verdict(cache, health))
+            elif health.consecutive_failures >= terms.fails and (
+                not health.bad or self._republish_due(health, now)
+            ):
+                if too_many_failing:
                     self.verdicts_withheld += 1
                     continue
-                case.bad, case.published_at = True, now
-                out.append(self._rule(cache, case))
-            elif case.bad and not case.consecutive_failures and self._fades(case, now):
-                case.published_at = now  # it passed some, not enough yet: the ruling holds
-                out.append(self._rule(cache, case))
-        return out
+                health.bad, health.published_at = True, now
+                verdicts.append(self._make_verdict(cache, health))
+            elif health.bad and not health.consecutive_failures and self._republish_due(health, now):
+                health.published_at = now  # it passed some, not enough yet: the ruling holds
+                verdicts.append(self._make_verdict(cache, health))
+        return verdicts
 
-    def _fades(self, case: CacheHealth, now: float) -> bool:
-        return case.published_at is None or now - case.published_at >= self.terms.republish_interval
+    def _republish_due(self, health: CacheHealth, now: float) -> bool:
+        return health.published_at is None or now - health.published_at >= self.terms.republish_interval
 
-    def _rule(self, cache: str, case: CacheHealth) -> CacheVerdict:
+    def _make_verdict(self, cache: str, health: CacheHealth) -> CacheVerdict:
         self._number += 1
-        return CacheVerdict(cache, case.bad, self._number, case.evidence_since)
+        return CacheVerdict(cache, health.bad, self._number, health.evidence_since)
 
-    def record_publish_failure(self, ruling: CacheVerdict, now: float) -> None:
+    def record_publish_failure(self, verdict: CacheVerdict, now: float) -> None:
         """A ruling could not be published: it is tried again at the next look."""
-        case = self.health_by_cache.get(ruling.cache)
-        if case is None:
+        health = self.health_by_cache.get(verdict.cache)
+        if health is None:
             return
-        case.published_at = None
-        if not ruling.bad and case.consecutive_failures < self.terms.fails:
-            case.bad = True  # still held by all others; `pop_due_verdicts` takes it back once more
+        health.published_at = None
+        if not verdict.bad and health.consecutive_failures < self.terms.fails:
+            health.bad = True  # still held by all others; `pop_due_verdicts` takes it back once more
--- a/cometseam/verdicts/verdict_table.py
+++ b/cometseam/verdicts/verdict_table.py
@@ -12,7 +12,7 @@
 
 from cometseam.ownership import Fence
 
-MOST = 4096  # caches with a verdict; past that the one heard longest ago leaves
+MAX_VERDICTS = 4096  # caches with a verdict; past that the one heard longest ago leaves
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +38,8 @@
 class VerdictTable:
     """The verdicts that this front knows, by cache; an entry leaves when it ends, or past `MOST`."""
 
-    def __init__(self, lasts: float) -> None:
-        self.ttl = lasts
+    def __init__(self, ttl: float) -> None:
+        self.ttl = ttl
         self.fence = Fence()
         self.verdicts: dict[str, KnownVerdict] = {}
         self.stale_count = 0  # verdicts passed over
@@ -61,7 +61,7 @@
         if known is not None and (token, number) == (known.token, known.number):
             return None  # heard already (a read of the whole): it holds no longer for it
         self.verdicts.pop(cache, None)  # the one heard last stands last
-        if len(self.verdicts) >= MOST:
+        if len(self.verdicts) >= MAX_VERDICTS:
             self.verdicts.pop(next(iter(self.verdicts)))
         age = min(max(age, 0.0), self.ttl)
         self.verdicts[cache] = KnownVerdict(token, number, bad, now, now + self.ttl, age)
@@ -71,9 +71,9 @@
 
     def expire(self, now: float) -> list[str]:
         """Drop what has ended; return the caches that were held bad until now."""
-        over = [cache for cache, note in self.verdicts.items() if note.expires_at <= now]
-        bad = [cache for cache in over if self.verdicts[cache].bad]
-        for cache in over:
+        expired = [cache for cache, verdict in self.verdicts.items() if verdict.expires_at <= now]
+        bad = [cache for cache in expired if self.verdicts[cache].bad]
+        for cache in expired:
             del self.verdicts[cache]
         self.expired_count += len(bad)
         return bad
@@ -81,7 +81,7 @@
     def bad_caches(self, now: float) -> dict[str, float]:
         """The caches held bad now, each with when (ms, by this clock) its evidence began."""
         return {
-            cache: note.received_at - note.age
-            for cache, note in self.verdicts.items()
-            if note.bad and note.expires_at > now
+            cache: verdict.received_at - verdict.age
+            for cache, verdict in self.verdicts.items()
+            if verdict.bad and verdict.expires_at > now
         }
