--- a/cometseam/verdicts/__init__.py
+++ b/cometseam/verdicts/__init__.py
@@ -1,4 +1,4 @@
-"""Verdicts on caches that hold for the whole fleet, without I/O. The public door of the package."""
+"""Fleet-wide verdicts on the health of caches: when to probe, what to publish, when it expires. No I/O."""
 
 from cometseam.verdicts.prober import CacheVerdict, Prober, ProbeTerms
 from cometseam.verdicts.verdict_table import VerdictTable, VerdictUpdate
--- a/cometseam/verdicts/prober.py
+++ b/cometseam/verdicts/prober.py
@@ -1,12 +1,12 @@
-"""The prober's decisions: which cache to probe when, and what to rule on it. Without I/O.
+"""The prober's decisions: which cache to probe when, and which verdict to publish on it. Without I/O.
 
-The one front that holds the task `probe` asks each listed cache whether it works, once an interval, spread
-over the interval; `fails` probes in a row that came to nothing make a ruling `bad`, `passes` in a row that
-were answered take it back. A ruling `bad` is said again before it ends, for as long as it holds; one that is
-not said again ends by itself at every front (`VerdictTable`), so a prober that dies leaves nothing behind.
+The one front that owns the task `probe` sends each listed cache a health probe once per interval, with the
+caches spread over the interval. `fails` consecutive failures make the verdict `bad`, `passes` consecutive
+successes revoke it. A `bad` verdict that still applies is republished before it expires; one that is not
+republished expires at every front (`VerdictTable`), so a prober that dies leaves nothing to clean up.
 
-Where more than `most_bad` of the caches seem bad at once it is rather this front's own link, or its zone,
-that is cut: then nothing new is ruled bad, and what was is not renewed.
+Where more than `most_bad` of the caches fail at once, the likely cause is this front's own link, or its zone,
+being cut off: then no new `bad` verdict is published and none is renewed.
 """
 
 from collections.abc import Iterable
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeTerms:
-    """What probing goes by; times in ms.
+    """The terms of probing; times in ms.
 
-    `interval`: between two probes of one cache. `within`: how long a probe may take. `fails`, `passes`: in a
-    row, for a ruling and for taking it back. `lasts`: how long a ruling holds after it was last said.
-    `most_bad`: the share of the listed caches beyond which the prober doubts itself. `most_out`: probes
-    out at once.
+    `interval`: between two probes of one cache. `within`: timeout of a probe. `fails`, `passes`: consecutive
+    failures that make a verdict, consecutive successes that revoke it. `lasts`: how long a verdict applies
+    after it was last published. `most_bad`: the fraction of the listed caches above which failures are
+    attributed to the prober's own link. `most_out`: the largest number of probes in flight.
     """
 
     interval: float = 1000.0
@@ -34,13 +34,13 @@
 
     @property
     def republish_interval(self) -> float:
-        """How often (ms) a ruling that holds is said again: two may be lost before it ends."""
+        """How often (ms) a verdict that applies is republished: two may be lost before it expires."""
         return self.lasts / 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class CacheVerdict:
-    """What is to be published of a cache: `number` counts this prober's rulings."""
+    """A verdict to publish; `number` counts this prober's verdicts."""
 
     cache: str
     bad: bool
@@ -50,29 +50,29 @@
 
 @dataclass(slots=True)
 class CacheHealth:
-    """What is known of one cache."""
+    """What the probes of one cache have shown."""
 
-    next_probe_at: float  # of the next probe
+    next_probe_at: float
     in_flight: bool = False
-    consecutive_failures: int = 0  # probes in a row
+    consecutive_failures: int = 0
     consecutive_successes: int = 0
-    evidence_since: float = 0.0  # when the first of the failures in a row was sent
+    evidence_since: float = 0.0  # when the first of the consecutive failures was sent
     bad: bool = False
-    published_at: float | None = None  # when the ruling was last published
+    published_at: float | None = None  # when the verdict was last published
 
 
 class Prober:
-    """Probes and rulings of one front; it holds a case for each listed cache, and one that leaves goes."""
+    """The probes and verdicts of one front: a `CacheHealth` for each listed cache, removed with the cache."""
 
     def __init__(self, terms: ProbeTerms) -> None:
         self.terms = terms
         self.health_by_cache: dict[str, CacheHealth] = {}
         self.probes_started = 0
-        self.verdicts_withheld = 0  # times that a ruling was held back, since too many seemed bad at once
+        self.verdicts_withheld = 0  # times that a verdict was not published as too many caches failed at once
         self._number = 0
 
     def update_caches(self, caches: Iterable[str], now: float) -> None:
-        """Take the list of caches in: new ones are probed within an interval, those that left are dropped."""
+        """Set the list of caches: new ones are probed within an interval, removed ones are dropped."""
         listed = set(caches)
         for cache in self.health_by_cache.keys() - listed:
             del self.health_by_cache[cache]
@@ -84,13 +84,13 @@
         return self.terms.interval * int.from_bytes(digest, "big") / 2.0**64
 
     def take_over(self, bad: dict[str, float], now: float) -> None:
-        """This front has become the prober: it goes on with the rulings that hold (cache: since, ms).
+        """Become the prober, keeping the `bad` verdicts that apply (cache: since when, ms).
 
-        Else a bad cache would be good for all as soon as its prober changes, for as long as it takes the new
-        one to find out; so a ruling that it found holds until its own probes take it back.
+        Otherwise a bad cache would count as good for all fronts at each change of prober, until the new one
+        has detected it; so an existing verdict applies until the new prober's own probes revoke it.
         """
         self._number = 0
-        # Anew: a probe that is out from an earlier time counts for nothing.
+        # All state starts over: the result of a probe still in flight from an earlier term is ignored.
         for cache in self.health_by_cache:
             self.health_by_cache[cache] = CacheHealth(
                 now + self._probe_offset(cache), bad=cache in bad, evidence_since=bad.get(cache, now)
@@ -98,7 +98,7 @@
             self.health_by_cache[cache].consecutive_failures = self.terms.fails if cache in bad else 0
 
     def start_due_probes(self, now: float) -> list[str]:
-        """Tell which caches to probe now; each is out until `record_probe_result`."""
+        """Return the caches to probe now; each probe is in flight until `record_probe_result`."""
         room = self.terms.most_out - sum(health.in_flight for health in self.health_by_cache.values())
         due = sorted(
             (h.next_probe_at, name)
@@ -107,7 +107,7 @@
         )
         for _, name in due[: max(room, 0)]:
             health = self.health_by_cache[name]
-            # The rhythm stays, whatever a probe takes; what was missed (a pause) is not made up for.
+            # The schedule is kept however long a probe takes; probes missed in a pause are not made up for.
             health.next_probe_at = max(
                 health.next_probe_at + self.terms.interval, now + 0.5 * self.terms.interval
             )
@@ -118,28 +118,28 @@
         return [name for _, name in due[: max(room, 0)]]
 
     def next_probe_at(self) -> float | None:
-        """Tell when the next probe is due; None where none is."""
+        """Return when the next probe is due; None where none is."""
         return min(
             (health.next_probe_at for health in self.health_by_cache.values() if not health.in_flight),
             default=None,
         )
 
     def record_probe_result(self, cache: str, succeeded: bool) -> None:
-        """A probe has ended: answered in time, or not."""
+        """Record the end of a probe; `succeeded`: it was answered in time."""
         health = self.health_by_cache.get(cache)
         if health is None or not health.in_flight:
-            return  # it left the list meanwhile, or this front became the prober anew
+            return  # the cache was removed meanwhile, or this front became the prober again
         health.in_flight = False
         health.consecutive_failures, health.consecutive_successes = (
             (0, health.consecutive_successes + 1) if succeeded else (health.consecutive_failures + 1, 0)
         )
 
     def pop_due_verdicts(self, now: float) -> list[CacheVerdict]:
-        """Tell what is to be published now: what changed, and what holds and would end."""
+        """Return the verdicts to publish now: those that changed, and those to be renewed."""
         terms = self.terms
-        # One failure counts here: probes are spread over the interval, so when the first cache has failed
-        # twice each other one has been asked since. Else a prober that is cut off would rule against the
-        # first half of the caches before it begins to doubt itself. (So `fails` is 2 at least.)
+        # A single failure counts here: probes are spread over the interval, so when the first cache has
+        # failed twice each other one has been probed since. Otherwise a prober that is cut off would publish
+        # verdicts against the first half of the caches before it withholds any. (So `fails` is at least 2.)
         failing = sum(health.consecutive_failures > 0 for health in self.health_by_cache.values())
         too_many_failing = failing > terms.most_bad * len(self.health_by_cache)
         verdicts = []
@@ -156,7 +156,7 @@
                 health.bad, health.published_at = True, now
                 verdicts.append(self._make_verdict(cache, health))
             elif health.bad and not health.consecutive_failures and self._republish_due(health, now):
-                health.published_at = now  # it passed some, not enough yet: the ruling holds
+                health.published_at = now  # fewer successes than `passes` so far: the verdict still applies
                 verdicts.append(self._make_verdict(cache, health))
         return verdicts
 
@@ -168,10 +168,10 @@
         return CacheVerdict(cache, health.bad, self._number, health.evidence_since)
 
     def record_publish_failure(self, verdict: CacheVerdict, now: float) -> None:
-        """A ruling could not be published: it is tried again at the next look."""
+        """Record that a verdict was not published, so that the next `pop_due_verdicts` returns it again."""
         health = self.health_by_cache.get(verdict.cache)
         if health is None:
             return
         health.published_at = None
         if not verdict.bad and health.consecutive_failures < self.terms.fails:
-            health.bad = True  # still held by all others; `pop_due_verdicts` takes it back once more
+            health.bad = True  # still bad at all other fronts; `pop_due_verdicts` revokes it again
