--- a/cometseam/ownership/campaigns.py
+++ b/cometseam/ownership/campaigns.py
@@ -16,8 +16,10 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-EQUALS = 0.5  # part of the spread in which fronts that hold equally many tasks follow each other
-ENOUGH = 4  # tasks held from which on a front comes last
+HASH_SPREAD_FRACTION = (
+    0.5  # part of the spread in which fronts that hold equally many tasks follow each other
+)
+MAX_COUNTED_TASKS = 4  # tasks held from which on a front comes last
 
 
 @dataclass(slots=True)
@@ -43,26 +45,28 @@
     @property
     def owned_count(self) -> int:
         """How many tasks this front holds."""
-        return sum(sight.owned_here for sight in self.tasks.values())
+        return sum(state.owned_here for state in self.tasks.values())
 
     def campaign_delay(self, task: str) -> float:
         """How long (ms) this front waits before it campaigns for a task that has come free."""
         digest = blake2b(f"{self.name}\0{task}".encode(), digest_size=8).digest()
-        draw = int.from_bytes(digest, "big") / 2.0**64
-        behind = min(self.owned_count, ENOUGH) / ENOUGH
-        return self.spread_ms * ((1.0 - EQUALS) * behind + EQUALS * draw)
+        hash_fraction = int.from_bytes(digest, "big") / 2.0**64
+        load_fraction = min(self.owned_count, MAX_COUNTED_TASKS) / MAX_COUNTED_TASKS
+        return self.spread_ms * (
+            (1.0 - HASH_SPREAD_FRACTION) * load_fraction + HASH_SPREAD_FRACTION * hash_fraction
+        )
 
     def record_key(self, task: str, token: int, now: float) -> None:
         """The service shows a task's key, created at `token`; 0 where there is none."""
-        sight = self.tasks.get(task)
-        if sight is None or sight.owned_here:
+        state = self.tasks.get(task)
+        if state is None or state.owned_here:
             return
         if token:
-            self.campaigns_avoided += sight.campaign_at is not None
-            sight.campaign_at = None
-        elif sight.campaign_at is None:
-            sight.campaign_at = now + self.campaign_delay(task)
-        sight.token = token
+            self.campaigns_avoided += state.campaign_at is not None
+            state.campaign_at = None
+        elif state.campaign_at is None:
+            state.campaign_at = now + self.campaign_delay(task)
+        state.token = token
 
     def pop_due_task(self, now: float) -> str | None:
         """Tell the task to campaign for now, the one due longest, or None; it then waits for what comes of
@@ -71,10 +75,10 @@
         One at a time: where many tasks come free at once (most of a fleet was restarted) each front begins
         with another and sees what the others took before it goes on, or the first ones up would ask for all.
         """
-        ready = [(s.campaign_at, t) for t, s in self.tasks.items() if s.campaign_at is not None]
-        if not ready or min(ready)[0] > now:
+        due = [(s.campaign_at, t) for t, s in self.tasks.items() if s.campaign_at is not None]
+        if not due or min(due)[0] > now:
             return None
-        task = min(ready)[1]
+        task = min(due)[1]
         self.tasks[task].campaign_at = now + self.retry_ms
         self.campaigns_started += 1
         return task
--- a/cometseam/ownership/explore.py
+++ b/cometseam/ownership/explore.py
@@ -24,7 +24,7 @@
 from cometseam.ownership.fence import Fence
 from cometseam.ownership.machine import Ownership, OwnershipTerms, State
 
-UNIT = 100.0  # ms a step of time
+TIME_STEP_MS = 100.0  # ms a step of time
 
 
 @dataclass(frozen=True)
@@ -59,18 +59,18 @@
     exclusivity_violation: list[str] | None
 
 
-def _owner(terms: OwnershipTerms, front: FrontState) -> Ownership:
+def _restore_ownership(terms: OwnershipTerms, front: FrontState) -> Ownership:
     owner = Ownership("task", terms)
     owner.state, owner.token, owner.sent_at = front.state, front.token, front.sent_at
     return owner
 
 
-def _front(owner: Ownership, rate: float) -> FrontState:
+def _capture_front(owner: Ownership, rate: float) -> FrontState:
     return FrontState(owner.state, owner.token, owner.sent_at, rate)
 
 
-def _local(world: World, front: int) -> float:
-    return world.time * UNIT * world.fronts[front].clock_rate
+def _local_time(world: World, front: int) -> float:
+    return world.time * TIME_STEP_MS * world.fronts[front].clock_rate
 
 
 def initial_world(fronts: int, rates: tuple[float, ...] | None = None) -> World:
@@ -92,72 +92,75 @@
     world: World, terms: OwnershipTerms, limit: int, enforce: bool = True
 ) -> Iterator[tuple[str, World]]:
     """Every step that the world may take from here, named."""
-    ttl = int(terms.ttl_ms // UNIT)
+    ttl = int(terms.ttl_ms // TIME_STEP_MS)
     if world.time < limit:  # time passes; leases whose end has come are dropped with their key
         leases = tuple(-1 if 0 <= end <= world.time + 1 else end for end in world.leases)
-        gone = world.holder >= 0 and leases[world.holder] == -1
+        expired = world.holder >= 0 and leases[world.holder] == -1
         yield (
             "tick",
             replace(
                 world,
                 time=world.time + 1,
                 leases=leases,
-                holder=-1 if gone else world.holder,
-                token=0 if gone else world.token,
+                holder=-1 if expired else world.holder,
+                token=0 if expired else world.token,
             ),
         )
     for number, front in enumerate(world.fronts):
-        now = _local(world, number)
-        owner = _owner(terms, front)
+        now = _local_time(world, number)
+        owner = _restore_ownership(terms, front)
         if owner.begin_campaign(now):  # lease and transaction at once; the answer may be lost
             revision = world.revision + 1
-            granted = list(world.leases)
-            granted[number] = world.time + ttl
+            leases_after = list(world.leases)
+            leases_after[number] = world.time + ttl
             if world.holder == -1:
-                taken = replace(
-                    world, revision=revision, holder=number, token=revision, leases=tuple(granted)
+                won = replace(
+                    world, revision=revision, holder=number, token=revision, leases=tuple(leases_after)
                 )
-                told = _owner(terms, front)
-                told.begin_campaign(now)
-                told.record_won(revision, now, now)
-                yield f"f{number} wins {revision}", _with(taken, number, told)
-                yield f"f{number} wins {revision}, answer lost", _with(taken, number, owner)
+                winner = _restore_ownership(terms, front)
+                winner.begin_campaign(now)
+                winner.record_won(revision, now, now)
+                yield f"f{number} wins {revision}", _replace_front(won, number, winner)
+                yield f"f{number} wins {revision}, answer lost", _replace_front(won, number, owner)
             else:
-                yield f"f{number} campaigns, held", _with(world, number, owner)
+                yield f"f{number} campaigns, held", _replace_front(world, number, owner)
         if front.state in (State.OWNER, State.LOSING):
             alive = world.leases[number] >= 0
-            renewed = list(world.leases)
+            renewed_leases = list(world.leases)
             if alive:
-                renewed[number] = world.time + ttl
-            told = _owner(terms, front)
-            told.record_renewal(now, terms.ttl_ms if alive else 0.0, now)
-            told.record_key_holder(world.token if world.holder == number else world.token or 0, now)
-            yield f"f{number} renews", _with(replace(world, leases=tuple(renewed)), number, told)
+                renewed_leases[number] = world.time + ttl
+            renewing = _restore_ownership(terms, front)
+            renewing.record_renewal(now, terms.ttl_ms if alive else 0.0, now)
+            renewing.record_key_holder(world.token if world.holder == number else world.token or 0, now)
+            yield (
+                f"f{number} renews",
+                _replace_front(replace(world, leases=tuple(renewed_leases)), number, renewing),
+            )
             if alive:
-                yield f"f{number} renews, answer lost", replace(world, leases=tuple(renewed))
-            acting = _owner(terms, front)
+                yield f"f{number} renews, answer lost", replace(world, leases=tuple(renewed_leases))
+            acting = _restore_ownership(terms, front)
             if acting.may_act(now):
-                flying = tuple(sorted({*world.in_flight, (number, acting.token)}))
+                in_flight = tuple(sorted({*world.in_flight, (number, acting.token)}))
                 yield (
                     f"f{number} sends {acting.token}",
-                    _with(replace(world, in_flight=flying), number, acting),
+                    _replace_front(replace(world, in_flight=in_flight), number, acting),
                 )
     for effect in world.in_flight:
-        rest = tuple(e for e in world.in_flight if e != effect)
+        remaining = tuple(e for e in world.in_flight if e != effect)
         fence = Fence(enforce)
         fence.highest_tokens["task"] = world.highest_token
-        verdict = fence.admit("task", effect[1])
-        landed = (*world.delivered, (effect[1], effect[0])) if verdict.passed else world.delivered
+        decision = fence.admit("task", effect[1])
+        delivered = (*world.delivered, (effect[1], effect[0])) if decision.passed else world.delivered
         yield (
             f"f{effect[0]}'s {effect[1]} lands",
-            replace(world, in_flight=rest, highest_token=verdict.highest_token, delivered=landed),
+            replace(world, in_flight=remaining, highest_token=decision.highest_token, delivered=delivered),
         )
-        yield f"f{effect[0]}'s {effect[1]} is lost", replace(world, in_flight=rest)
+        yield f"f{effect[0]}'s {effect[1]} is lost", replace(world, in_flight=remaining)
 
 
-def _with(world: World, number: int, owner: Ownership) -> World:
+def _replace_front(world: World, number: int, owner: Ownership) -> World:
     fronts = list(world.fronts)
-    fronts[number] = _front(owner, fronts[number].clock_rate)
+    fronts[number] = _capture_front(owner, fronts[number].clock_rate)
     return replace(world, fronts=tuple(fronts))
 
 
@@ -168,23 +171,27 @@
 
 
 def violates_exclusivity(world: World, terms: OwnershipTerms) -> bool:
-    acting = [n for n, front in enumerate(world.fronts) if _owner(terms, front).may_act(_local(world, n))]
+    acting = [
+        number
+        for number, front in enumerate(world.fronts)
+        if _restore_ownership(terms, front).may_act(_local_time(world, number))
+    ]
     return len(acting) > 1
 
 
 @dataclass
-class _Broken:
+class _FirstViolations:
     """The first path found to break each property; None while none has."""
 
     terms: OwnershipTerms
-    fenced: list[str] | None = None
-    alone: list[str] | None = None
+    fencing: list[str] | None = None
+    exclusivity: list[str] | None = None
 
-    def look(self, world: World, path: list[str] | tuple[str, ...]) -> None:
-        if self.fenced is None and violates_fencing(world):
-            self.fenced = list(path)
-        if self.alone is None and violates_exclusivity(world, self.terms):
-            self.alone = list(path)
+    def check(self, world: World, path: list[str] | tuple[str, ...]) -> None:
+        if self.fencing is None and violates_fencing(world):
+            self.fencing = list(path)
+        if self.exclusivity is None and violates_exclusivity(world, self.terms):
+            self.exclusivity = list(path)
 
 
 def explore(
@@ -197,20 +204,20 @@
 ) -> ExplorationResult:
     """Every interleaving of `depth` steps or fewer, time up to `max_time_steps` steps; states seen once are
     not walked again."""
-    first = initial_world(fronts, rates)
-    seen = {first}
-    queue: deque[tuple[World, tuple[str, ...]]] = deque([(first, ())])
-    broken = _Broken(terms)
+    initial = initial_world(fronts, rates)
+    seen = {initial}
+    queue: deque[tuple[World, tuple[str, ...]]] = deque([(initial, ())])
+    violations = _FirstViolations(terms)
     while queue:
         world, path = queue.popleft()
-        broken.look(world, path)
+        violations.check(world, path)
         if len(path) >= depth:
             continue
         for name, after in transitions(world, terms, max_time_steps, enforce):
             if after not in seen:
                 seen.add(after)
                 queue.append((after, (*path, name)))
-    return ExplorationResult(len(seen), broken.fenced, broken.alone)
+    return ExplorationResult(len(seen), violations.fencing, violations.exclusivity)
 
 
 def random_walks(
@@ -223,11 +230,11 @@
     enforce: bool = True,
 ) -> ExplorationResult:
     """Seeded random walks of `length` steps each; the same seed walks the same paths."""
-    chance = Random(seed)
-    count = 0
-    broken = _Broken(terms)
+    rng = Random(seed)
+    step_count = 0
+    violations = _FirstViolations(terms)
     for _ in range(walks):
-        if broken.fenced is not None and broken.alone is not None:
+        if violations.fencing is not None and violations.exclusivity is not None:
             break  # both broken: nothing more to learn
         world, path = initial_world(fronts, rates), []
         for _ in range(length):
@@ -237,11 +244,11 @@
             # A kind of step first (time, one front's act, one front's effect arriving), then one of that
             # kind: else the many ways to deliver would crowd out time passing, and nothing would be late.
             kinds = sorted({name.split()[0] for name, _ in options})
-            kind = chance.choice(kinds)
-            name, world = chance.choice([option for option in options if option[0].split()[0] == kind])
+            kind = rng.choice(kinds)
+            name, world = rng.choice([option for option in options if option[0].split()[0] == kind])
             # bounded: what landed is kept only as far as the property needs it
             world = replace(world, delivered=world.delivered[-2:])
             path.append(name)
-            count += 1
-            broken.look(world, path)
-    return ExplorationResult(count, broken.fenced, broken.alone)
+            step_count += 1
+            violations.check(world, path)
+    return ExplorationResult(step_count, violations.fencing, violations.exclusivity)
--- a/cometseam/ownership/key_range.py
+++ b/cometseam/ownership/key_range.py
@@ -49,12 +49,12 @@
             self.revision_rollbacks += 1
         elif revision < self.revision:
             return []  # events have told more since it was answered; it says nothing of the time after
-        told = [KeyChange(key, None) for key in self.entries_by_key if key not in entries]
-        told += [
+        changes = [KeyChange(key, None) for key in self.entries_by_key if key not in entries]
+        changes += [
             KeyChange(key, entry) for key, entry in entries.items() if self.entries_by_key.get(key) != entry
         ]
         self.entries_by_key, self.revision, self.last_read_at = dict(entries), revision, sent_at
-        return told
+        return changes
 
     def apply_event(self, revision: int, key: bytes, entry: KeyEntry | None) -> list[KeyChange]:
         """Take in an event of the watch, a write (`entry`) or a removal (None), made at `revision`."""
--- a/cometseam/ownership/log_sharing.py
+++ b/cometseam/ownership/log_sharing.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-TAIL = 256  # events that the reader's word reaches back
-MOST = 256 << 10  # bytes of it; an event beyond leaves a gap, which the others ask for themselves
+MAX_TAIL_EVENTS = 256  # events that the reader's word reaches back
+MAX_TAIL_BYTES = 256 << 10  # bytes of it; an event beyond leaves a gap, which the others ask for themselves
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
                 self.size = 0
             self.events.append((number, size, event))
             self.size += size
-            while self.events and (len(self.events) > TAIL or self.size > MOST):
+            while self.events and (len(self.events) > MAX_TAIL_EVENTS or self.size > MAX_TAIL_BYTES):
                 self.size -= self.events.popleft()[1]
 
     def event_payloads(self) -> list[Any]:
@@ -65,11 +65,11 @@
         self.latest_update, self.received_at = (token, polls), now
         return True
 
-    def record_catch_up(self, whole: bool) -> None:
+    def record_catch_up(self, complete: bool) -> None:
         """The word was taken in, and went on from where this front was (`whole`) or left a gap."""
-        self.has_gap = not whole
+        self.has_gap = not complete
 
-    def should_poll(self, reads: bool, now: float) -> bool:
+    def should_poll(self, is_reader: bool, now: float) -> bool:
         """Tell whether this front polls the log now; `reads`: it holds the task `list`."""
         fresh = self.received_at is not None and now < self.received_at + self.bound_ms
-        return reads or self.has_gap or not fresh
+        return is_reader or self.has_gap or not fresh
--- a/cometseam/ownership/machine.py
+++ b/cometseam/ownership/machine.py
@@ -107,9 +107,9 @@
         self.clock_regressions = 0
         self.changes: list[StateChange] = []  # emptied by whoever reads them: `pop_changes`
 
-    def _go(self, after: State, at: float, why: str) -> None:
+    def _change_state(self, after: State, at: float, reason: str) -> None:
         if after is not self.state:
-            self.changes.append(StateChange(self.state, after, self.token, at, why))
+            self.changes.append(StateChange(self.state, after, self.token, at, reason))
             self.state = after
 
     def pop_changes(self) -> list[StateChange]:
@@ -117,7 +117,7 @@
         changes, self.changes = self.changes, []
         return changes
 
-    def _look(self, now: float) -> None:
+    def _check_clock(self, now: float) -> None:
         """Take in the time. Guards against a clock that goes back (a process moved to another machine, a
         suspended one, a faulty source): by it a lease that has ended still lives. What holds the lease is
         then unproven, so this front acts no more until a renewal that it sends from now on is answered."""
@@ -125,7 +125,7 @@
             self.clock_regressions += 1
             self.sent_at = now - self.terms.acting_window_ms
             if self.state is State.OWNER:
-                self._go(State.LOSING, now, "clock went back")
+                self._change_state(State.LOSING, now, "clock went back")
         self.last_now = now
 
     def record_won(self, token: int, sent_at: float, now: float, clock_regressions: int = 0) -> None:
@@ -133,31 +133,31 @@
         `sent_at`, when `clock_regressions` was the machine's."""
         if token <= 0:
             raise ValueError(f"token {token} is not a revision")
-        self._look(now)
+        self._check_clock(now)
         self.token = token
         self.sent_at = (
             sent_at if clock_regressions == self.clock_regressions else now - self.terms.acting_window_ms
         )
-        self._go(State.OWNER if self._live(now) else State.LOSING, now, "won")
+        self._change_state(State.OWNER if self._lease_valid(now) else State.LOSING, now, "won")
 
     def record_renewal(self, sent_at: float, ttl_ms: float, now: float, clock_regressions: int = 0) -> None:
         """A keep-alive sent at `sent_at`, when `clock_regressions` was the machine's, came back with `ttl_ms`
         left; 0 or less means the lease is gone."""
-        self._look(now)
+        self._check_clock(now)
         if self.state not in (State.OWNER, State.LOSING):
             return
         if ttl_ms <= 0.0:
-            self._go(State.LOST, now, "lease gone")
+            self._change_state(State.LOST, now, "lease gone")
             return
         if clock_regressions == self.clock_regressions:
             # A reply to an older keep-alive than one already counted moves nothing back.
             self.sent_at = max(self.sent_at, sent_at)
-        self._go(State.OWNER if self._live(now) else State.LOSING, now, "renewed")
+        self._change_state(State.OWNER if self._lease_valid(now) else State.LOSING, now, "renewed")
 
     def record_key_holder(self, holder_token: int, now: float) -> None:
         """The service shows the task's key written at `holder_token`, or 0 for no key."""
         if self.state in (State.OWNER, State.LOSING) and holder_token != self.token:
-            self._go(State.LOST, now, "key gone" if holder_token == 0 else "held by another")
+            self._change_state(State.LOST, now, "key gone" if holder_token == 0 else "held by another")
 
     def tick(self, now: float) -> None:
         """Time passed: an owner whose lease may have ended by its own clock stops acting; one that has heard
@@ -169,22 +169,22 @@
         keep-alive arrived. A task is so without an owner for at most `acting_window_ms + 2 * ttl_ms` after
         the last answer heard.
         """
-        self._look(now)
-        if self.state is State.OWNER and not self._live(now):
-            self._go(State.LOSING, now, "renewal overdue")
+        self._check_clock(now)
+        if self.state is State.OWNER and not self._lease_valid(now):
+            self._change_state(State.LOSING, now, "renewal overdue")
         if (
             self.state is State.LOSING
             and now >= self.sent_at + self.terms.acting_window_ms + self.terms.ttl_ms
         ):
-            self._go(State.LOST, now, "unheard for a lease")
+            self._change_state(State.LOST, now, "unheard for a lease")
 
     def begin_campaign(self, now: float) -> bool:
         """Whether to campaign now: only a candidate, or one that has lost, does; it is then a candidate."""
         if self.state is State.LOST:
-            self._go(State.CANDIDATE, now, "campaign again")
+            self._change_state(State.CANDIDATE, now, "campaign again")
         return self.state is State.CANDIDATE
 
-    def _live(self, now: float) -> bool:
+    def _lease_valid(self, now: float) -> bool:
         return self.token > 0 and now < self.sent_at + self.terms.acting_window_ms
 
     def may_act(self, now: float) -> bool:
