--- a/cometseam/ownership/__init__.py
+++ b/cometseam/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Ownership of fleet work: one owner a task at a time, without I/O. The public door of the package."""
+"""Ownership of fleet tasks: one owner per task at a time, elected by leases and fencing tokens. No I/O."""
 
 from cometseam.ownership.campaigns import CampaignScheduler
 from cometseam.ownership.fence import Fence, FenceDecision
--- a/cometseam/ownership/explore.py
+++ b/cometseam/ownership/explore.py
@@ -1,19 +1,19 @@
-"""Every interleaving of a small fleet holding one task, on the shipped `Ownership` and `Fence`, up to a
-depth.
+"""Explores all interleavings of a small fleet with one task, on the shipped `Ownership` and `Fence`, up to a
+given depth.
 
-The world: a service with one key and leases that end by the service's clock; fronts whose clocks run at rates
-within the terms' drift (or outside it, to show what the fence alone still holds); effects in flight that
-arrive late, in any order, or never; answers of the service that are lost. Pauses need no event of their own:
-a paused front is one that takes no step while time passes, and every such schedule is among those explored.
+The model: a service with one key and leases that expire by the service's clock; fronts whose clocks run at
+rates within the terms' drift (or outside it, to show what the fence alone still ensures); effects in flight
+that arrive late, in any order, or never; lost answers of the service. Pauses need no event of their own: a
+paused front is one that takes no step while time passes, and every such schedule is among those explored.
 
 Two properties are checked at every state reached:
-- `fencing_violation`: no effect of an older owner lands at the target after one of a newer owner (the
-  target's history);
-- `exclusivity_violation`: at no moment do two fronts both hold that they may act. It holds only while clocks
-  keep to the drift.
+- `fencing_violation`: no effect of an older owner is admitted at the target after one of a newer owner (by
+  the target's history);
+- `exclusivity_violation`: at no time do two fronts both find that they may act. It is ensured only while
+  clocks keep to the drift.
 
-`explore(...)` walks breadth first with states already seen pruned, and returns what it found with the number
-of states; `random_walks(...)` takes seeded random walks deeper than the exhaustive depth.
+`explore(...)` searches breadth first, skipping states already seen, and returns the violations found with the
+number of states; `random_walks(...)` takes seeded random walks deeper than the exhaustive depth.
 """
 
 from collections import deque
@@ -24,7 +24,7 @@
 from cometseam.ownership.fence import Fence
 from cometseam.ownership.machine import Ownership, OwnershipTerms, State
 
-TIME_STEP_MS = 100.0  # ms a step of time
+TIME_STEP_MS = 100.0
 
 
 @dataclass(frozen=True)
@@ -32,27 +32,27 @@
     state: State
     token: int
     sent_at: float
-    clock_rate: float  # local ms a ms of the service's clock
+    clock_rate: float  # local ms per ms of the service's clock
 
 
 @dataclass(frozen=True)
 class World:
     time: int  # steps of the service's clock
-    holder: int  # the front whose key it is, or -1
+    holder: int  # the front that owns the key, or -1
     token: int  # the key's create revision, 0 for none
     revision: int
-    leases: tuple[int, ...]  # a front's lease's end in steps of the service's clock, -1 for none
+    leases: tuple[int, ...]  # when each front's lease expires, in steps of the service's clock; -1 for none
     fronts: tuple[FrontState, ...]
-    in_flight: tuple[tuple[int, int], ...]  # effects on their way: (front, token), sorted
-    highest_token: int  # what the target's fence has let through, highest token
+    in_flight: tuple[tuple[int, int], ...]  # effects sent and not arrived: (front, token), sorted
+    highest_token: int  # that the target's fence has admitted
     delivered: tuple[
         tuple[int, int], ...
-    ]  # (token, front) of every effect let through, in order (bounded by depth)
+    ]  # (token, front) of every effect admitted, in order (bounded by depth)
 
 
 @dataclass(frozen=True)
 class ExplorationResult:
-    """What an exploration saw: states reached, and the first path to a state that breaks each property."""
+    """The number of states reached, and the first path to a violation of each property."""
 
     states: int
     fencing_violation: list[str] | None
@@ -91,9 +91,9 @@
 def transitions(
     world: World, terms: OwnershipTerms, limit: int, enforce: bool = True
 ) -> Iterator[tuple[str, World]]:
-    """Every step that the world may take from here, named."""
+    """Yield every possible next step: its name and the world after it."""
     ttl = int(terms.ttl_ms // TIME_STEP_MS)
-    if world.time < limit:  # time passes; leases whose end has come are dropped with their key
+    if world.time < limit:  # time passes; expired leases are dropped with their key
         leases = tuple(-1 if 0 <= end <= world.time + 1 else end for end in world.leases)
         expired = world.holder >= 0 and leases[world.holder] == -1
         yield (
@@ -109,7 +109,7 @@
     for number, front in enumerate(world.fronts):
         now = _local_time(world, number)
         owner = _restore_ownership(terms, front)
-        if owner.begin_campaign(now):  # lease and transaction at once; the answer may be lost
+        if owner.begin_campaign(now):  # lease and transaction in one step; the answer may be lost
             revision = world.revision + 1
             leases_after = list(world.leases)
             leases_after[number] = world.time + ttl
@@ -181,7 +181,7 @@
 
 @dataclass
 class _FirstViolations:
-    """The first path found to break each property; None while none has."""
+    """The first path found to a violation of each property; None where none was found."""
 
     terms: OwnershipTerms
     fencing: list[str] | None = None
@@ -202,8 +202,10 @@
     rates: tuple[float, ...] | None = None,
     enforce: bool = True,
 ) -> ExplorationResult:
-    """Every interleaving of `depth` steps or fewer, time up to `max_time_steps` steps; states seen once are
-    not walked again."""
+    """Explore every interleaving of at most `depth` steps and `max_time_steps` time steps.
+
+    A state seen before is not expanded again.
+    """
     initial = initial_world(fronts, rates)
     seen = {initial}
     queue: deque[tuple[World, tuple[str, ...]]] = deque([(initial, ())])
@@ -229,24 +231,25 @@
     rates: tuple[float, ...] | None = None,
     enforce: bool = True,
 ) -> ExplorationResult:
-    """Seeded random walks of `length` steps each; the same seed walks the same paths."""
+    """Take `walks` random walks of `length` steps each; the same seed gives the same paths."""
     rng = Random(seed)
     step_count = 0
     violations = _FirstViolations(terms)
     for _ in range(walks):
         if violations.fencing is not None and violations.exclusivity is not None:
-            break  # both broken: nothing more to learn
+            break  # both properties are violated: nothing more to find
         world, path = initial_world(fronts, rates), []
         for _ in range(length):
             options = list(transitions(world, terms, 10**9, enforce))
             if not options:
                 break
-            # A kind of step first (time, one front's act, one front's effect arriving), then one of that
-            # kind: else the many ways to deliver would crowd out time passing, and nothing would be late.
+            # Choose a kind of step first (time, one front's action, one front's effect arriving), then a step
+            # of that kind: otherwise the many possible deliveries would outweigh time, and nothing would be
+            # late.
             kinds = sorted({name.split()[0] for name, _ in options})
             kind = rng.choice(kinds)
             name, world = rng.choice([option for option in options if option[0].split()[0] == kind])
-            # bounded: what landed is kept only as far as the property needs it
+            # Bounded: the property needs only the last two admitted effects.
             world = replace(world, delivered=world.delivered[-2:])
             path.append(name)
             step_count += 1
--- a/cometseam/ownership/machine.py
+++ b/cometseam/ownership/machine.py
@@ -2,12 +2,13 @@
 
 A front is a candidate until a transaction on the coordination service makes its key the task's key; it is
 then the owner, with a fencing token (the revision at which its key was written, which no later owner can have
-lower). It acts only while its lease surely lives by its own clock: from the moment it *sent* the request that
-granted or renewed the lease, less what clocks may drift in that time, less a margin. Past that moment it is
-losing: it does nothing on the task's behalf but may still be renewed. When the service says the lease or the
-key is gone, or another front holds the key, it has lost, and becomes a candidate again on the next campaign.
+lower). It acts only while its lease is certainly valid by its own clock: from the moment it *sent* the
+request that granted or renewed the lease, less the clock drift in that time, less a margin. After that it is
+losing: it does nothing on the task's behalf, but the lease may still be renewed. When the service reports
+that the lease or the key is gone, or that another front owns the key, it has lost, and becomes a candidate
+again on the next campaign.
 
-Times are float ms of one monotonic clock, handed in. Nothing here sleeps, sends or reads.
+Times are float ms of one monotonic clock, passed in. Nothing here sleeps, sends or reads.
 """
 
 from dataclasses import dataclass
@@ -15,12 +16,12 @@
 
 
 class State(Enum):
-    """Where a front stands towards one task."""
+    """A front's state for one task."""
 
-    CANDIDATE = "candidate"  # holds nothing; may campaign
-    OWNER = "owner"  # holds the key, and its lease surely lives: may act
-    LOSING = "losing"  # holds the key as far as it knows, but its lease may have ended: must not act
-    LOST = "lost"  # the service said the lease or key is gone, or another holds it
+    CANDIDATE = "candidate"  # owns nothing; may campaign
+    OWNER = "owner"  # owns the key, and its lease is certainly valid: may act
+    LOSING = "losing"  # owns the key as far as it knows, but its lease may have expired: must not act
+    LOST = "lost"  # the service reported that the lease or key is gone, or another owner
 
 
 class OwnershipTermsError(ValueError):
@@ -29,13 +30,13 @@
 
 @dataclass(frozen=True)
 class OwnershipTerms:
-    """What ownership of a task goes by.
+    """The terms of owning a task.
 
     `ttl_ms`: the lease's time to live as granted (etcd grants whole seconds). `margin_ms`: how long before
     the lease's end by its own clock an owner stops acting; it covers a pause between the check and the
-    effect's send, and the time the effect takes to reach its target. `drift`: the most that two clocks may
-    run apart, as a share of time passed (0.01 is 1%). `renew_ms`: how often an owner renews. `round_trip_ms`:
-    the longest round trip to the service that the operator expects.
+    effect's send, and the time the effect takes to reach its target. `drift`: the largest relative rate
+    difference of two clocks, as a fraction of the elapsed time (0.01 is 1%). `renew_ms`: how often an owner
+    renews. `round_trip_ms`: the longest round trip to the service that the operator expects.
     """
 
     ttl_ms: float
@@ -45,8 +46,8 @@
     round_trip_ms: float
 
     def check(self) -> None:
-        """Refuse terms that cannot keep one owner at a time: `OwnershipTermsError`, naming the first term at
-        fault."""
+        """Raise `OwnershipTermsError`, naming the first invalid term, for terms that can't ensure a single
+        owner."""
         if not 0.0 <= self.drift < 0.1:
             raise OwnershipTermsError(f"drift: {self.drift} is outside 0 to 0.1")
         if self.round_trip_ms <= 0.0:
@@ -67,18 +68,18 @@
             raise OwnershipTermsError(
                 f"renew_ms: {self.renew_ms:g} ms must lie between a round trip ({self.round_trip_ms:g} ms) "
                 f"and the time to act less a round trip ({self.acting_window_ms - self.round_trip_ms:g} ms), "
-                "so that a renewal lands in time"
+                "so that a renewal arrives in time"
             )
 
     @property
     def acting_window_ms(self) -> float:
-        """How long after sending a grant or renewal an owner may act: the lease less drift and margin."""
+        """How long an owner may act after sending a grant or renewal: the lease less drift and margin."""
         return self.ttl_ms * (1.0 - self.drift) - self.margin_ms
 
 
 @dataclass(frozen=True)
 class StateChange:
-    """A change of state, for the log and for the module: before, after, the token, the time (ms), why."""
+    """A change of state, for logging: the states before and after, the token, the time (ms), the reason."""
 
     before: State
     after: State
@@ -88,11 +89,10 @@
 
 
 class Ownership:
-    """One front's standing towards one task.
+    """One front's state for one task.
 
-    Events come in by the methods below, each with the time it was seen; `may_act(now)` is the one question
-    every effect asks before it is sent, and the token it is sent with is `token`. The table is one task's: it
-    holds the token and two times, no more.
+    Events are recorded by the methods below, each with the time it was seen; every effect asks `may_act(now)`
+    before it is sent, and carries `token`.
     """
 
     def __init__(self, task: str, terms: OwnershipTerms) -> None:
@@ -102,10 +102,10 @@
         self.state = State.CANDIDATE
         self.token = 0
         self.sent_at = 0.0  # when the last request that granted or renewed the lease was sent
-        self.last_now = 0.0  # the latest time handed in
-        # How often the clock was seen to go back: what was sent before a turn proves nothing.
+        self.last_now = 0.0  # the latest time passed in
+        # Times that the clock was seen to go back: what was sent before a regression proves nothing.
         self.clock_regressions = 0
-        self.changes: list[StateChange] = []  # emptied by whoever reads them: `pop_changes`
+        self.changes: list[StateChange] = []  # since the last `pop_changes`
 
     def _change_state(self, after: State, at: float, reason: str) -> None:
         if after is not self.state:
@@ -113,14 +113,17 @@
             self.state = after
 
     def pop_changes(self) -> list[StateChange]:
-        """Return the changes since the last call, and forget them."""
+        """Return the changes since the last call, and clear them."""
         changes, self.changes = self.changes, []
         return changes
 
     def _check_clock(self, now: float) -> None:
-        """Take in the time. Guards against a clock that goes back (a process moved to another machine, a
-        suspended one, a faulty source): by it a lease that has ended still lives. What holds the lease is
-        then unproven, so this front acts no more until a renewal that it sends from now on is answered."""
+        """Record the time, and stop acting if the clock went back (a process moved to another machine, a
+        suspended one, a faulty source).
+
+        By such a clock an expired lease would seem valid, so its validity is unproven: this front does not
+        act until a renewal that it sends from now on is answered.
+        """
         if now < self.last_now:
             self.clock_regressions += 1
             self.sent_at = now - self.terms.acting_window_ms
@@ -129,10 +132,13 @@
         self.last_now = now
 
     def record_won(self, token: int, sent_at: float, now: float, clock_regressions: int = 0) -> None:
-        """The campaign's transaction wrote this front's key at revision `token`; the lease was asked at
-        `sent_at`, when `clock_regressions` was the machine's."""
+        """Record that the campaign's transaction wrote this front's key at revision `token`.
+
+        The lease was requested at `sent_at`, when `clock_regressions` had the value given. Raises ValueError
+        for a token that is no revision (0 or less).
+        """
         if token <= 0:
-            raise ValueError(f"token {token} is not a revision")
+            raise ValueError(f"token {token} is not a revision: a number above 0 was expected")
         self._check_clock(now)
         self.token = token
         self.sent_at = (
@@ -141,8 +147,8 @@
         self._change_state(State.OWNER if self._lease_valid(now) else State.LOSING, now, "won")
 
     def record_renewal(self, sent_at: float, ttl_ms: float, now: float, clock_regressions: int = 0) -> None:
-        """A keep-alive sent at `sent_at`, when `clock_regressions` was the machine's, came back with `ttl_ms`
-        left; 0 or less means the lease is gone."""
+        """Record the answer to a keep-alive sent at `sent_at`, when `clock_regressions` had the value given;
+        `ttl_ms` is the remaining lease, 0 or less where the lease is gone."""
         self._check_clock(now)
         if self.state not in (State.OWNER, State.LOSING):
             return
@@ -150,24 +156,24 @@
             self._change_state(State.LOST, now, "lease gone")
             return
         if clock_regressions == self.clock_regressions:
-            # A reply to an older keep-alive than one already counted moves nothing back.
+            # The answer to an older keep-alive than one already recorded does not move the time back.
             self.sent_at = max(self.sent_at, sent_at)
         self._change_state(State.OWNER if self._lease_valid(now) else State.LOSING, now, "renewed")
 
     def record_key_holder(self, holder_token: int, now: float) -> None:
-        """The service shows the task's key written at `holder_token`, or 0 for no key."""
+        """Record the task's key as the service shows it, written at `holder_token`; 0 for no key."""
         if self.state in (State.OWNER, State.LOSING) and holder_token != self.token:
             self._change_state(State.LOST, now, "key gone" if holder_token == 0 else "held by another")
 
     def tick(self, now: float) -> None:
-        """Time passed: an owner whose lease may have ended by its own clock stops acting; one that has heard
-        nothing for a whole lease more gives the task up.
+        """Update the state for the time: an owner whose lease may have expired by its own clock stops acting;
+        one without an answer for one more lease time gives the task up.
 
         The second guards against a link that carries requests but loses their answers: the keep-alives still
-        reach the service and keep the lease, so that no other front can take the task, while this one never
-        hears that it may act. Given up, it stops renewing, and the lease ends one TTL after the last
-        keep-alive arrived. A task is so without an owner for at most `acting_window_ms + 2 * ttl_ms` after
-        the last answer heard.
+        reach the service and renew the lease, so no other front can win the task, while this one never
+        receives the proof that it may act. Once it gives up, it stops renewing, and the lease expires one TTL
+        after the last keep-alive arrived. So a task is without an owner for at most
+        `acting_window_ms + 2 * ttl_ms` after the last answer received.
         """
         self._check_clock(now)
         if self.state is State.OWNER and not self._lease_valid(now):
@@ -176,10 +182,10 @@
             self.state is State.LOSING
             and now >= self.sent_at + self.terms.acting_window_ms + self.terms.ttl_ms
         ):
-            self._change_state(State.LOST, now, "unheard for a lease")
+            self._change_state(State.LOST, now, "no answer for a lease time")
 
     def begin_campaign(self, now: float) -> bool:
-        """Whether to campaign now: only a candidate, or one that has lost, does; it is then a candidate."""
+        """Return whether to campaign now; a front that has lost becomes a candidate again first."""
         if self.state is State.LOST:
             self._change_state(State.CANDIDATE, now, "campaign again")
         return self.state is State.CANDIDATE
@@ -188,11 +194,10 @@
         return self.token > 0 and now < self.sent_at + self.terms.acting_window_ms
 
     def may_act(self, now: float) -> bool:
-        """Whether an effect sent now is safe by this front's own clock; an owner past its time becomes
-        losing."""
+        """Return whether an effect sent now is safe by this front's own clock; updates the state first."""
         self.tick(now)
         return self.state is State.OWNER
 
     def may_act_until(self) -> float:
-        """The time (ms) until which this front may act, or 0 where it holds nothing."""
+        """Return the time (ms) until which this front may act, or 0 where it owns nothing."""
         return self.sent_at + self.terms.acting_window_ms if self.token else 0.0
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -150,7 +150,7 @@
 BAD_FLEETS = {
     "ttl: '80ms', margin: '0ms', renew: '20ms'": "the service grants whole seconds",
     "ttl: '1s', margin: '900ms', renew: '200ms'": "not more than a round trip",
-    "ttl: '1s', margin: '200ms', renew: '900ms'": "so that a renewal lands in time",
+    "ttl: '1s', margin: '200ms', renew: '900ms'": "so that a renewal arrives in time",
 }
 
 
