--- a/cometseam/coordination/agent.py
+++ b/cometseam/coordination/agent.py
@@ -36,11 +36,11 @@
         """Tell the time in ms."""
         return boot_time() + self.offset_ms
 
-    async def handle_jump_signals(self, by: float) -> None:
+    async def handle_jump_signals(self, jump_ms: float) -> None:
         """Jump when a signal says so: SIGUSR1 forward, SIGUSR2 back."""
         with anyio.open_signal_receiver(signal.SIGUSR1, signal.SIGUSR2) as signals:
-            async for number in signals:
-                self.offset_ms += by if number == signal.SIGUSR1 else -by
+            async for signal_number in signals:
+                self.offset_ms += jump_ms if signal_number == signal.SIGUSR1 else -jump_ms
 
 
 class EffectSender:
@@ -77,49 +77,51 @@
             print(f"refused {owner.task} token={owner.token} {answer.decode().strip()}", flush=True)
 
 
-def _say(holder: TaskHolder) -> None:
+def _print_changes(holder: TaskHolder) -> None:
     for change in holder.ownership.pop_changes():
         task = holder.ownership.task
         print(f"state {change.after.value} task={task} token={change.token} why={change.reason}", flush=True)
 
 
-def _terms(words: argparse.Namespace) -> OwnershipTerms:
-    return OwnershipTerms(words.ttl_ms, words.margin_ms, words.drift, words.renew_ms, words.round_trip_ms)
+def _parse_terms(args: argparse.Namespace) -> OwnershipTerms:
+    return OwnershipTerms(args.ttl_ms, args.margin_ms, args.drift, args.renew_ms, args.round_trip_ms)
 
 
-async def _alone(words: argparse.Namespace, clock: Clock, group: TaskGroup) -> None:
-    terms = _terms(words)
-    async with connect(ServiceAddress.parse(words.etcd), terms) as client:
-        holder = TaskHolder(client, words.task, words.name, terms, clock.now, read_first=not words.no_look)
+async def _run_single(args: argparse.Namespace, clock: Clock, group: TaskGroup) -> None:
+    terms = _parse_terms(args)
+    async with connect(ServiceAddress.parse(args.etcd), terms) as client:
+        holder = TaskHolder(client, args.task, args.name, terms, clock.now, read_first=not args.no_look)
         group.start_soon(holder.run)
-        acting = EffectSender(words.name, ServiceAddress.parse(words.target), words.every_ms, clock.now)
-        group.start_soon(acting.run, lambda: [holder])
-        print(f"ready {words.name}", flush=True)
+        sender = EffectSender(args.name, ServiceAddress.parse(args.target), args.every_ms, clock.now)
+        group.start_soon(sender.run, lambda: [holder])
+        print(f"ready {args.name}", flush=True)
         while True:
             await anyio.sleep(0.05)
-            _say(holder)
+            _print_changes(holder)
 
 
-async def _member(words: argparse.Namespace, name: str, clock: Clock) -> None:
-    terms = _terms(words)
-    async with connect(ServiceAddress.parse(words.etcd), terms) as client, anyio.create_task_group() as group:
-        tasks = {task: terms for task in words.tasks.split(",")}
-        crew = TaskOwners(client, name, tasks, words.refresh_ms, clock.now, _say, words.spread_ms)
-        group.start_soon(crew.run)
-        acting = EffectSender(name, ServiceAddress.parse(words.target), words.every_ms, clock.now)
-        group.start_soon(acting.run, crew.active_holders)
+async def _run_member(args: argparse.Namespace, name: str, clock: Clock) -> None:
+    terms = _parse_terms(args)
+    async with connect(ServiceAddress.parse(args.etcd), terms) as client, anyio.create_task_group() as group:
+        tasks = {task: terms for task in args.tasks.split(",")}
+        task_owners = TaskOwners(
+            client, name, tasks, args.refresh_ms, clock.now, _print_changes, args.spread_ms
+        )
+        group.start_soon(task_owners.run)
+        sender = EffectSender(name, ServiceAddress.parse(args.target), args.every_ms, clock.now)
+        group.start_soon(sender.run, task_owners.active_holders)
 
 
-async def main_async(words: argparse.Namespace) -> None:
+async def main_async(args: argparse.Namespace) -> None:
     clock = Clock()
     async with anyio.create_task_group() as group:
-        group.start_soon(clock.handle_jump_signals, words.jump_ms)
-        if not words.tasks:
-            await _alone(words, clock, group)
-        for number in range(words.members):
-            name = words.name if words.members == 1 else f"{words.name}.{number}"
-            group.start_soon(_member, words, name, clock)
-        print(f"ready {words.name}", flush=True)
+        group.start_soon(clock.handle_jump_signals, args.jump_ms)
+        if not args.tasks:
+            await _run_single(args, clock, group)
+        for number in range(args.members):
+            name = args.name if args.members == 1 else f"{args.name}.{number}"
+            group.start_soon(_run_member, args, name, clock)
+        print(f"ready {args.name}", flush=True)
 
 
 def main() -> int:
@@ -142,14 +144,14 @@
     parser.add_argument("--jump-ms", type=float, default=0.0, help="what SIGUSR1, SIGUSR2 move the clock by")
     parser.add_argument("--no-look", action="store_true", help="campaign without reading the key first")
     parser.add_argument("--spread-ms", type=float, default=None, help="with --tasks: the longest wait to bid")
-    words = parser.parse_args()
+    args = parser.parse_args()
     try:
-        _terms(words).check()
+        _parse_terms(args).check()
     except OwnershipTermsError as error:
         print(f"cometseam: {error}", file=sys.stderr)
         return 2
     try:
-        anyio.run(main_async, words, backend="asyncio")
+        anyio.run(main_async, args, backend="asyncio")
     except KeyboardInterrupt:
         return 0
     return 0
--- a/cometseam/coordination/election.py
+++ b/cometseam/coordination/election.py
@@ -55,9 +55,9 @@
     return f"/cometseam/owners/{task}".encode()
 
 
-def connect(place: ServiceAddress, terms: OwnershipTerms) -> aetcd.Client:
+def connect(address: ServiceAddress, terms: OwnershipTerms) -> aetcd.Client:
     """A client whose every call has a deadline of twice the terms' round trip (whole ms, as seconds)."""
-    return aetcd.Client(host=place.host, port=place.port, timeout=2 * terms.round_trip_ms / 1000.0)
+    return aetcd.Client(host=address.host, port=address.port, timeout=2 * terms.round_trip_ms / 1000.0)
 
 
 async def call_or_unanswered(call: Awaitable[Any]) -> Any:
@@ -104,11 +104,11 @@
         self.unused_lease: UnusedLease | None = None
         self.requests_sent = 0  # requests sent to the service, for the measure of its load
 
-    async def _ask(self, call: Awaitable[Any]) -> Any:
+    async def _call(self, call: Awaitable[Any]) -> Any:
         self.requests_sent += 1
         return await call_or_unanswered(call)
 
-    def _stamp(self) -> tuple[float, int | None]:
+    def _send_stamp(self) -> tuple[float, int | None]:
         """When a request is sent, and how often the clock had gone back by then; None: the task is lost."""
         now = self.clock()
         self.ownership.tick(now)
@@ -122,23 +122,26 @@
         if self.read_first:
             # While another holds the task, a candidate's campaign would be a grant, a failed transaction
             # and a revoke: three calls each `renew_ms` from every candidate. One read tells the same.
-            held = await self._ask(self.client.get(owner_key(self.ownership.task)))
-            if held is UNANSWERED or held is not None:
+            existing = await self._call(self.client.get(owner_key(self.ownership.task)))
+            if existing is UNANSWERED or existing is not None:
                 return
-        spare, self.unused_lease = self.unused_lease, None
-        now, turns = self._stamp()
+        lease_grant, self.unused_lease = self.unused_lease, None
+        now, clock_regressions = self._send_stamp()
         seconds = max(int(self.ownership.terms.ttl_ms // 1000), 1)
         # A tenth of its time may be gone: that much less is left to act before the first renewal.
-        fits = spare is not None and (spare.ttl_seconds, spare.clock_regressions) == (seconds, turns)
-        if spare is None or not fits or now > spare.sent_at + 100.0 * seconds:
-            asked = await self._ask(self.client.lease(seconds))
-            if asked is UNANSWERED:
+        reusable = lease_grant is not None and (lease_grant.ttl_seconds, lease_grant.clock_regressions) == (
+            seconds,
+            clock_regressions,
+        )
+        if lease_grant is None or not reusable or now > lease_grant.sent_at + 100.0 * seconds:
+            granted = await self._call(self.client.lease(seconds))
+            if granted is UNANSWERED:
                 return
-            spare = UnusedLease(asked, seconds, now, turns)
-        lease, sent = spare.lease, spare.sent_at
+            lease_grant = UnusedLease(granted, seconds, now, clock_regressions)
+        lease, sent_at = lease_grant.lease, lease_grant.sent_at
         key = owner_key(self.ownership.task)
         tx = self.client.transactions
-        answer = await self._ask(
+        answer = await self._call(
             self.client.transaction(
                 compare=[tx.create(key) == 0],
                 success=[tx.put(key, self.name.encode(), lease)],
@@ -146,30 +149,32 @@
             )
         )
         if answer is UNANSWERED:
-            await self._ask(lease.revoke())
+            await self._call(lease.revoke())
             return
         succeeded, replies = answer
         if succeeded:
             self.lease = lease
-            self.ownership.record_won(replies[0].response_put.header.revision, sent, self.clock(), turns or 0)
+            self.ownership.record_won(
+                replies[0].response_put.header.revision, sent_at, self.clock(), clock_regressions or 0
+            )
         else:
             # For the next campaign soon, or to its own end: no more than one a front.
-            self.unused_lease = spare
+            self.unused_lease = lease_grant
 
     async def renew(self) -> None:
         """Renew the lease, then look at who holds the key."""
         if self.lease is None:
             return
-        sent, turns = self._stamp()
-        if turns is None:
+        sent_at, clock_regressions = self._send_stamp()
+        if clock_regressions is None:
             self.lease = None  # given up: not asked for again, it ends by itself
             return
-        reply = await self._ask(self.lease.refresh())
+        reply = await self._call(self.lease.refresh())
         if reply is not UNANSWERED and reply is not None:
-            self.ownership.record_renewal(sent, float(reply.TTL) * 1000.0, self.clock(), turns)
-        held = await self._ask(self.client.get(owner_key(self.ownership.task)))
-        if held is not UNANSWERED:  # `get` answers None for a key that is not there
-            self.ownership.record_key_holder(held.create_revision if held is not None else 0, self.clock())
+            self.ownership.record_renewal(sent_at, float(reply.TTL) * 1000.0, self.clock(), clock_regressions)
+        entry = await self._call(self.client.get(owner_key(self.ownership.task)))
+        if entry is not UNANSWERED:  # `get` answers None for a key that is not there
+            self.ownership.record_key_holder(entry.create_revision if entry is not None else 0, self.clock())
         self.ownership.tick(self.clock())
         if self.ownership.state is State.LOST:
             self.lease = None  # renewed no more: given up, or gone at the service
@@ -182,22 +187,22 @@
         the owner's lease. Returns whether it was written; unanswered counts as not, and may have been.
         """
         put = self.client.transactions.put
-        return self.lease is not None and await self._write([put(key, value, self.lease)])
+        return self.lease is not None and await self._write_as_owner([put(key, value, self.lease)])
 
     async def write_fenced(self, keys: list[tuple[bytes, bytes | None]]) -> bool:
         """Write keys, or remove those with None, as `put_fenced` does and all at once; they outlive this
         owner."""
         tx = self.client.transactions
-        return await self._write([tx.delete(k) if v is None else tx.put(k, v) for k, v in keys])
+        return await self._write_as_owner([tx.delete(k) if v is None else tx.put(k, v) for k, v in keys])
 
-    async def _write(self, operations: list[Any]) -> bool:
+    async def _write_as_owner(self, operations: list[Any]) -> bool:
         owner, tx = self.ownership, self.client.transactions
         if self.lease is None or not owner.may_act(self.clock()):
             return False
-        mine = owner_key(owner.task)
-        answer = await self._ask(
+        task_key = owner_key(owner.task)
+        answer = await self._call(
             self.client.transaction(
-                compare=[tx.create(mine) == owner.token], success=operations, failure=[tx.get(mine)]
+                compare=[tx.create(task_key) == owner.token], success=operations, failure=[tx.get(task_key)]
             )
         )
         if answer is UNANSWERED:
@@ -229,5 +234,5 @@
         """Give the lease back, so that the next owner need not wait for its end; also when cancelled."""
         if self.lease is not None:
             with anyio.CancelScope(shield=True), anyio.move_on_after(0.5):
-                await self._ask(self.lease.revoke())
+                await self._call(self.lease.revoke())
             self.lease = None
--- a/cometseam/coordination/key_watcher.py
+++ b/cometseam/coordination/key_watcher.py
@@ -19,21 +19,26 @@
 
 Clock = Callable[[], float]
 ChangesCallback = Callable[[list[KeyChange]], None]
-LEAST_PAUSE = 0.05  # s between two watches: one that ends at once must not be begun in a loop
+MIN_WATCH_INTERVAL_S = 0.05  # s between two watches: one that ends at once must not be begun in a loop
 
 
 class KeyRangeWatcher:
     """One front's view of the keys below `prefix`; `tell` is called with every change, in order."""
 
     def __init__(
-        self, client: aetcd.Client, prefix: bytes, refresh_ms: float, clock: Clock, tell: ChangesCallback
+        self,
+        client: aetcd.Client,
+        prefix: bytes,
+        refresh_ms: float,
+        clock: Clock,
+        on_changes: ChangesCallback,
     ) -> None:
         self.client, self.prefix, self.refresh_ms = client, prefix, refresh_ms
-        self.clock, self.on_changes = clock, tell
+        self.clock, self.on_changes = clock, on_changes
         self.view = KeyRangeView()
         self.reads = self.unanswered = self.watches = self.watches_ended = 0
 
-    async def _answered(self, call: Awaitable[Any]) -> Any:
+    async def _call(self, call: Awaitable[Any]) -> Any:
         try:
             return await call
         except Exception:  # the link failed, the deadline passed, or the service refused
@@ -42,15 +47,15 @@
 
     async def read(self) -> bool:
         """Read the whole range once; tell what changed, and whether it was answered."""
-        sent, floor = self.clock(), self.view.revision
+        sent_at, floor = self.clock(), self.view.revision
         self.reads += 1
-        answer = await self._answered(self.client.get_prefix(self.prefix))
+        answer = await self._call(self.client.get_prefix(self.prefix))
         if answer is None:
             return False
         entries = {kv.key: KeyEntry(kv.value, kv.create_revision, kv.mod_revision) for kv in answer}
-        told = self.view.apply_read(answer.header.revision, entries, sent, floor)
-        if told:
-            self.on_changes(told)
+        changes = self.view.apply_read(answer.header.revision, entries, sent_at, floor)
+        if changes:
+            self.on_changes(changes)
         return True
 
     async def _watch(self) -> None:
@@ -60,11 +65,11 @@
             watch = await self.client.watch_prefix(self.prefix, start_revision=self.view.revision + 1)
             async for event in watch:
                 kv = event.kv
-                put = str(event.kind).endswith("PUT")
-                entry = KeyEntry(kv.value, kv.create_revision, kv.mod_revision) if put else None
-                told = self.view.apply_event(kv.mod_revision, kv.key, entry)
-                if told:
-                    self.on_changes(told)
+                is_put = str(event.kind).endswith("PUT")
+                entry = KeyEntry(kv.value, kv.create_revision, kv.mod_revision) if is_put else None
+                changes = self.view.apply_event(kv.mod_revision, kv.key, entry)
+                if changes:
+                    self.on_changes(changes)
         except Exception:  # compacted under, or the connection ended: the next read mends what was missed
             self.watches_ended += 1
 
@@ -76,7 +81,7 @@
             tasks.start_soon(self._refresh)
             while True:
                 await self._watch()
-                await anyio.sleep(LEAST_PAUSE)
+                await anyio.sleep(MIN_WATCH_INTERVAL_S)
                 await self.read()
 
     async def _refresh(self) -> None:
--- a/cometseam/coordination/limit_sharing.py
+++ b/cometseam/coordination/limit_sharing.py
@@ -26,53 +26,53 @@
 from cometseam.limits import CapacityGrant, Coordinator, DemandReport, FrontShares, SharingTerms
 from cometseam.ownership import KeyChange
 
-LIMITS = "limits"  # the task of sharing out
-ASKS, GRANTS = b"/cometseam/asks/", b"/cometseam/grants/"
-LOOK = 0.02  # s between two looks at what is due
-BATCH = 100  # keys in a transaction; etcd takes 128 by default
-MOST = 1 << 20  # bytes of an ask or a grant
+LIMITS_TASK = "limits"  # the task of sharing out
+REPORT_PREFIX, GRANT_PREFIX = b"/cometseam/asks/", b"/cometseam/grants/"
+POLL_INTERVAL_S = 0.02  # s between two looks at what is due
+MAX_KEYS_PER_TRANSACTION = 100  # keys in a transaction; etcd takes 128 by default
+MAX_VALUE_BYTES = 1 << 20  # bytes of an ask or a grant
 
 DemandReader = Callable[[], dict[str, dict[str, float]]]  # by group and limit
 ShareCallback = Callable[[str, str, float, float], None]  # group, limit, part, for how long (ms)
 
 
-def encode_report(ask: DemandReport) -> bytes:
+def encode_report(report: DemandReport) -> bytes:
     """Return an ask as it stands on the service, as JSON."""
-    return json.dumps([ask.number, *ask.applied_grant, ask.demands], separators=(",", ":")).encode()
+    return json.dumps([report.number, *report.applied_grant, report.demands], separators=(",", ":")).encode()
 
 
 def encode_grant(grant: CapacityGrant) -> bytes:
     """Return a grant as it stands on the service, as JSON."""
-    told = [grant.token, grant.number, grant.report_number, grant.shares, grant.previous_max_shares]
-    return json.dumps(told, separators=(",", ":")).encode()
+    fields = [grant.token, grant.number, grant.report_number, grant.shares, grant.previous_max_shares]
+    return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def _parts(value: bytes, whole: int, maps: int) -> list[Any]:
+def _decode_fields(value: bytes, integer_count: int, map_count: int) -> list[Any]:
     """Read `whole` whole numbers and `maps` objects of parts; ValueError for anything else."""
-    if len(value) > MOST:
+    if len(value) > MAX_VALUE_BYTES:
         raise ValueError("too large")
-    told = json.loads(value)
-    if not isinstance(told, list) or len(told) != whole + maps:
+    fields = json.loads(value)
+    if not isinstance(fields, list) or len(fields) != integer_count + map_count:
         raise ValueError("a list of its length was expected")
-    if not all(type(number) is int and number >= 0 for number in told[:whole]):
+    if not all(type(number) is int and number >= 0 for number in fields[:integer_count]):
         raise ValueError("whole numbers were expected")
-    for parts in told[whole:]:
-        if not isinstance(parts, dict):
+    for shares in fields[integer_count:]:
+        if not isinstance(shares, dict):
             raise ValueError("an object was expected")
-        if not all(isinstance(part, int | float) and 0.0 <= part <= 1.0 for part in parts.values()):
+        if not all(isinstance(share, int | float) and 0.0 <= share <= 1.0 for share in shares.values()):
             raise ValueError("parts of a whole were expected")
-    return told
+    return fields
 
 
 def decode_report(value: bytes) -> DemandReport:
     """Read what `encode_report` wrote; ValueError for anything else."""
-    number, token, last, wishes = _parts(value, 3, 1)
-    return DemandReport(number, (token, last), wishes)
+    number, token, grant_number, demands = _decode_fields(value, 3, 1)
+    return DemandReport(number, (token, grant_number), demands)
 
 
 def decode_grant(value: bytes) -> CapacityGrant:
     """Read what `encode_grant` wrote; ValueError for anything else."""
-    return CapacityGrant(*_parts(value, 3, 2))
+    return CapacityGrant(*_decode_fields(value, 3, 2))
 
 
 class LimitSharer:
@@ -81,39 +81,41 @@
     def __init__(
         self,
         client: aetcd.Client,
-        crew: TaskOwners,
+        task_owners: TaskOwners,
         name: str,
         clock: Clock,
         groups: dict[str, SharingTerms],
-        mine: set[str],
-        wishes: DemandReader,
-        granted: ShareCallback,
+        own_groups: set[str],
+        read_demands: DemandReader,
+        on_share: ShareCallback,
     ) -> None:
-        self.client, self.task_owners, self.clock = client, crew, clock
-        self.groups, self.read_demands, self.on_share = groups, wishes, granted
+        self.client, self.task_owners, self.clock = client, task_owners, clock
+        self.groups, self.read_demands, self.on_share = groups, read_demands, on_share
         self.process = f"{name}.{int(clock() * 1000.0):x}"
-        self.front_shares = {group: FrontShares(groups[group]) for group in mine}
+        self.front_shares = {group: FrontShares(groups[group]) for group in own_groups}
         self.refresh = min(terms.refresh for terms in groups.values())
         self.grant_ttl = max(terms.grant_ttl for terms in groups.values())
         self._lease: Any = None
         self._lease_at = 0.0
-        self._told: dict[tuple[str, str], tuple[float, float]] = {}  # part and end as last told to the module
+        self._notified: dict[
+            tuple[str, str], tuple[float, float]
+        ] = {}  # part and end as last told to the module
         self._coordinators: dict[str, Coordinator] = {}
 
     async def run(self) -> None:
         """Take part until cancelled."""
         async with anyio.create_task_group() as tasks:
             for group in self.front_shares:
-                key = GRANTS + f"{group}/{self.process}".encode()
-                follower = KeyRangeWatcher(
-                    self.client, key, 2.0 * self.refresh, self.clock, self._taker(group, key)
+                key = GRANT_PREFIX + f"{group}/{self.process}".encode()
+                watcher = KeyRangeWatcher(
+                    self.client, key, 2.0 * self.refresh, self.clock, self._grant_handler(group, key)
                 )
-                tasks.start_soon(follower.run)
-            tasks.start_soon(self._ask)
+                tasks.start_soon(watcher.run)
+            tasks.start_soon(self._report_demands)
             tasks.start_soon(self._coordinate)
             while True:
-                await anyio.sleep(LOOK)
-                self._tell()
+                await anyio.sleep(POLL_INTERVAL_S)
+                self._notify_changes()
 
     # The front's side
 
@@ -133,24 +135,24 @@
         self._lease_at = now
         return self._lease is not None
 
-    async def _ask(self) -> None:
+    async def _report_demands(self) -> None:
         while True:
             await anyio.sleep(self.refresh / 1000.0)
-            told = self.read_demands()
+            demands_by_group = self.read_demands()
             for group, share in self.front_shares.items():
-                wishes = told.get(group, {})
-                if not wishes and not share.limit_names():
+                demands = demands_by_group.get(group, {})
+                if not demands and not share.limit_names():
                     continue
                 if not await self._keep_lease():
                     continue
-                ask = share.make_report(wishes, self.clock())
+                report = share.make_report(demands, self.clock())
                 COUNTERS.add("fleet.limits.asks")
-                key = ASKS + f"{group}/{self.process}".encode()
-                await call_or_unanswered(self.client.put(key, encode_report(ask), self._lease))
+                key = REPORT_PREFIX + f"{group}/{self.process}".encode()
+                await call_or_unanswered(self.client.put(key, encode_report(report), self._lease))
 
-    def _taker(self, group: str, key: bytes) -> Callable[[list[KeyChange]], None]:
-        def take(told: list[KeyChange]) -> None:
-            for change in told:
+    def _grant_handler(self, group: str, key: bytes) -> Callable[[list[KeyChange]], None]:
+        def apply_grants(changes: list[KeyChange]) -> None:
+            for change in changes:
                 if change.entry is None or change.key != key:
                     continue
                 try:
@@ -158,91 +160,93 @@
                 except (ValueError, RecursionError):
                     COUNTERS.add("fleet.limits.unusable")
                     continue
-                counts = self.front_shares[group].apply_grant(grant, self.clock())
-                COUNTERS.add("fleet.limits.taken" if counts else "fleet.limits.passed_over")
+                valid = self.front_shares[group].apply_grant(grant, self.clock())
+                COUNTERS.add("fleet.limits.taken" if valid else "fleet.limits.passed_over")
 
-        return take
+        return apply_grants
 
-    def _tell(self) -> None:
+    def _notify_changes(self) -> None:
         """Tell the module of each share that has changed, and until when it holds by itself."""
         now = self.clock()
         for group, share in self.front_shares.items():
             for name in share.limit_names():
-                part, ends = share.current_share(name, now), share.next_change_at(name, now)
-                if self._told.get((group, name)) != (part, ends):
-                    self._told[group, name] = (part, ends)
-                    self.on_share(group, name, part, max(ends - now, 0.0))
+                current, next_change_at = share.current_share(name, now), share.next_change_at(name, now)
+                if self._notified.get((group, name)) != (current, next_change_at):
+                    self._notified[group, name] = (current, next_change_at)
+                    self.on_share(group, name, current, max(next_change_at - now, 0.0))
             names = set(share.limit_names())
-            for key in [key for key in self._told if key[0] == group and key[1] not in names]:
-                del self._told[key]
+            for key in [key for key in self._notified if key[0] == group and key[1] not in names]:
+                del self._notified[key]
                 self.on_share(*key, share.terms.floor, 0.0)  # as without a grant: an equal part
 
     # The coordinator's side
 
-    def _holder(self) -> TaskHolder | None:
-        holder = self.task_owners.holders.get(LIMITS)
-        holds = holder is not None and holder.lease is not None and holder.ownership.may_act(self.clock())
-        return holder if holds else None
+    def _active_holder(self) -> TaskHolder | None:
+        holder = self.task_owners.holders.get(LIMITS_TASK)
+        active = holder is not None and holder.lease is not None and holder.ownership.may_act(self.clock())
+        return holder if active else None
 
     async def _coordinate(self) -> None:
         while True:
-            await anyio.sleep(LOOK)
-            holder = self._holder()
+            await anyio.sleep(POLL_INTERVAL_S)
+            holder = self._active_holder()
             if holder is not None:
-                await self._hold(holder)
+                await self._run_coordinator(holder)
 
-    async def _hold(self, holder: TaskHolder) -> None:
+    async def _run_coordinator(self, holder: TaskHolder) -> None:
         """Share out for as long as this front holds the task under this token and its clock does not turn."""
-        token, turns = holder.ownership.token, holder.ownership.clock_regressions
+        token, clock_regressions = holder.ownership.token, holder.ownership.clock_regressions
         self._coordinators = {group: Coordinator(terms, token) for group, terms in self.groups.items()}
         # After the task was won: whatever an earlier coordinator still writes is refused by the service.
-        answer = await call_or_unanswered(self.client.get_prefix(GRANTS))
+        answer = await call_or_unanswered(self.client.get_prefix(GRANT_PREFIX))
         if answer is UNANSWERED:
             return
         for kv in answer:
-            place = self._place(GRANTS, kv.key)
+            target = self._find_coordinator(GRANT_PREFIX, kv.key)
             try:
-                if place is not None:
-                    place[0].record_existing_grant(place[1], decode_grant(kv.value), self.clock())
+                if target is not None:
+                    target[0].record_existing_grant(target[1], decode_grant(kv.value), self.clock())
             except (ValueError, RecursionError):
                 COUNTERS.add("fleet.limits.unusable")
         COUNTERS.add("fleet.limits.coordinated")
         async with anyio.create_task_group() as tasks:
-            follower = KeyRangeWatcher(self.client, ASKS, 2.0 * self.refresh, self.clock, self._hear)
-            tasks.start_soon(follower.run)
-            while self._holder() is holder and (
+            watcher = KeyRangeWatcher(
+                self.client, REPORT_PREFIX, 2.0 * self.refresh, self.clock, self._apply_reports
+            )
+            tasks.start_soon(watcher.run)
+            while self._active_holder() is holder and (
                 holder.ownership.token,
                 holder.ownership.clock_regressions,
-            ) == (token, turns):
+            ) == (token, clock_regressions):
                 await anyio.sleep(self.refresh / 1000.0)
-                await self._share_out(holder)
+                await self._write_grants(holder)
             tasks.cancel_scope.cancel()
 
-    def _place(self, prefix: bytes, key: bytes) -> tuple[Coordinator, str] | None:
+    def _find_coordinator(self, prefix: bytes, key: bytes) -> tuple[Coordinator, str] | None:
         group, _, process = key.removeprefix(prefix).decode(errors="replace").partition("/")
         coordinator = self._coordinators.get(group)
         return None if coordinator is None or not process else (coordinator, process)
 
-    def _hear(self, told: list[KeyChange]) -> None:
-        for change in told:
-            place = self._place(ASKS, change.key)
-            if place is None:
+    def _apply_reports(self, changes: list[KeyChange]) -> None:
+        for change in changes:
+            target = self._find_coordinator(REPORT_PREFIX, change.key)
+            if target is None:
                 continue
             if change.entry is None:
-                place[0].record_report_removed(place[1])
+                target[0].record_report_removed(target[1])
                 continue
             try:
-                place[0].record_report(place[1], decode_report(change.entry.value), self.clock())
+                target[0].record_report(target[1], decode_report(change.entry.value), self.clock())
             except (ValueError, RecursionError):
                 COUNTERS.add("fleet.limits.unusable")
 
-    async def _share_out(self, holder: TaskHolder) -> None:
+    async def _write_grants(self, holder: TaskHolder) -> None:
         writes: list[tuple[bytes, bytes | None]] = []
         for group, coordinator in self._coordinators.items():
             for process, grant in coordinator.allocate(self.clock()).items():
-                writes.append((GRANTS + f"{group}/{process}".encode(), encode_grant(grant)))
+                writes.append((GRANT_PREFIX + f"{group}/{process}".encode(), encode_grant(grant)))
             for process in coordinator.pop_removed_fronts():
-                writes.append((GRANTS + f"{group}/{process}".encode(), None))
-        for at in range(0, len(writes), BATCH):
-            written = await holder.write_fenced(writes[at : at + BATCH])
+                writes.append((GRANT_PREFIX + f"{group}/{process}".encode(), None))
+        for start in range(0, len(writes), MAX_KEYS_PER_TRANSACTION):
+            written = await holder.write_fenced(writes[start : start + MAX_KEYS_PER_TRANSACTION])
             COUNTERS.add("fleet.limits.written" if written else "fleet.limits.refused")
--- a/cometseam/coordination/task_owners.py
+++ b/cometseam/coordination/task_owners.py
@@ -17,9 +17,9 @@
 from cometseam.coordination.key_watcher import KeyRangeWatcher
 from cometseam.ownership import CampaignScheduler, KeyChange, OwnershipTerms, State
 
-OWNERS = owner_key("")
-LOOK = 0.01  # s between two looks at bids that are due
-Changed = Callable[[TaskHolder], None]
+OWNER_PREFIX = owner_key("")
+POLL_INTERVAL_S = 0.01  # s between two looks at bids that are due
+StateCallback = Callable[[TaskHolder], None]
 
 
 class TaskOwners:
@@ -32,31 +32,35 @@
         tasks: dict[str, OwnershipTerms],
         refresh_ms: float,
         clock: Clock,
-        changed: Changed,
+        on_change: StateCallback,
         spread_ms: float | None = None,
     ) -> None:
         """`spread_ms`: the longest wait before a campaign; half of the shortest `renew_ms` by default."""
-        self.clock, self.on_change = clock, changed
+        self.clock, self.on_change = clock, on_change
         self.holders = {
             task: TaskHolder(client, task, name, terms, clock, read_first=False)
             for task, terms in tasks.items()
         }
-        again = min(terms.renew_ms for terms in tasks.values())
-        half = 0.5 * again if spread_ms is None else spread_ms
-        self.campaign_scheduler = CampaignScheduler(name, list(tasks), spread_ms=half, retry_ms=2.0 * again)
-        self.owner_watcher = KeyRangeWatcher(client, OWNERS, refresh_ms, clock, self._told)
-        self._first = True
-        self._spare: UnusedLease | None = None  # the lease of a campaign that was lost, for the next one
+        min_renew_ms = min(terms.renew_ms for terms in tasks.values())
+        spread_or_default_ms = 0.5 * min_renew_ms if spread_ms is None else spread_ms
+        self.campaign_scheduler = CampaignScheduler(
+            name, list(tasks), spread_ms=spread_or_default_ms, retry_ms=2.0 * min_renew_ms
+        )
+        self.owner_watcher = KeyRangeWatcher(client, OWNER_PREFIX, refresh_ms, clock, self._apply_changes)
+        self._awaiting_first_read = True
+        self._unused_lease: UnusedLease | None = (
+            None  # the lease of a campaign that was lost, for the next one
+        )
 
-    def _told(self, told: list[KeyChange]) -> None:
+    def _apply_changes(self, changes: list[KeyChange]) -> None:
         now = self.clock()
-        if self._first:  # what was not in the first read has no owner
-            self._first = False
+        if self._awaiting_first_read:  # what was not in the first read has no owner
+            self._awaiting_first_read = False
             for task in self.holders:
-                if OWNERS + task.encode() not in self.owner_watcher.view.entries_by_key:
+                if OWNER_PREFIX + task.encode() not in self.owner_watcher.view.entries_by_key:
                     self.campaign_scheduler.record_key(task, 0, now)
-        for change in told:
-            task = change.key.removeprefix(OWNERS).decode(errors="replace")
+        for change in changes:
+            task = change.key.removeprefix(OWNER_PREFIX).decode(errors="replace")
             token = change.entry.create_revision if change.entry is not None else 0
             self.campaign_scheduler.record_key(task, token, now)
             # What was told before this front's own key was created says nothing of it: the end of the
@@ -73,9 +77,9 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(self.owner_watcher.run)
                 while True:
-                    await anyio.sleep(LOOK)
-                    if self._first and self.owner_watcher.view.last_read_at is not None:
-                        self._told([])  # the range was empty: nothing was told
+                    await anyio.sleep(POLL_INTERVAL_S)
+                    if self._awaiting_first_read and self.owner_watcher.view.last_read_at is not None:
+                        self._apply_changes([])  # the range was empty: nothing was told
                     while (task := self.campaign_scheduler.pop_due_task(self.clock())) is not None:
                         await self._campaign(self.holders[task], group)
         finally:
@@ -86,16 +90,16 @@
     async def _campaign(self, holder: TaskHolder, group: TaskGroup) -> None:
         if holder.lease is not None:
             return
-        holder.unused_lease, self._spare = self._spare, None
+        holder.unused_lease, self._unused_lease = self._unused_lease, None
         await holder.campaign()
-        self._spare, holder.unused_lease = holder.unused_lease, None
+        self._unused_lease, holder.unused_lease = holder.unused_lease, None
         if holder.lease is None:
             return  # held by another, or unanswered: the bidder tries again until the key is seen
         self.campaign_scheduler.record_won(holder.ownership.task, holder.ownership.token)
         self.on_change(holder)
-        group.start_soon(self._keep, holder)
+        group.start_soon(self._renew_until_lost, holder)
 
-    async def _keep(self, holder: TaskHolder) -> None:
+    async def _renew_until_lost(self, holder: TaskHolder) -> None:
         # What is renewed late (the loop was busy, the process paused) is the owner's state to judge; the
         # task ends here when it is lost, and the front campaigns again after a while.
         while holder.lease is not None:
