--- a/cometseam/coordination/agent.py
+++ b/cometseam/coordination/agent.py
@@ -1,16 +1,16 @@
-"""A front's hold on fleet work, as a process of its own for the tests and for installations that allow it.
+"""A front that owns fleet tasks, as a process of its own for the tests and for installations that allow it.
 
-It holds one task on the coordination service (`TaskHolder`), or with `--tasks` takes part in several
+It takes part in one task on the coordination service (`TaskHolder`), or with `--tasks` in several
 (`TaskOwners`), and, while the owner's clock says that it may act, sends an effect every `--every-ms` to a
-target over TCP: `EFFECT task token name number`, answered `OK highest` or `STALE highest`. The answer is what
-the target's fence said; a refusal is logged and ends nothing (the target, not the owner, judges).
-`--members N` has the process stand for N fronts with a connection each. On the fleet's bench no front talks
-to another, so `run` never starts this.
+target over TCP: `EFFECT task token name number`, answered `OK highest` or `STALE highest`. The answer is the
+decision of the target's fence; a rejection is logged and ends nothing (the target decides, not the owner).
+With `--members N` the process acts as N fronts with a connection each. On the fleet's bench fronts do not
+talk to each other, so `run` never starts this.
 
     python -m cometseam.coordination.agent --etcd 127.0.0.1:2379 --target 127.0.0.1:7000 --task probe \
         --name f1
 
-For faults: SIGUSR1 moves the process's clock of leases forward by `--jump-ms`, SIGUSR2 back by as much.
+For fault injection: SIGUSR1 moves the process's lease clock forward by `--jump-ms`, SIGUSR2 back by as much.
 """
 
 import argparse
@@ -27,17 +27,17 @@
 
 
 class Clock:
-    """The clock of leases, which a test may have jump."""
+    """The lease clock, with an offset that a test can change."""
 
     def __init__(self) -> None:
-        self.offset_ms = 0.0  # ms
+        self.offset_ms = 0.0
 
     def now(self) -> float:
-        """Tell the time in ms."""
+        """Return the time in ms."""
         return boot_time() + self.offset_ms
 
     async def handle_jump_signals(self, jump_ms: float) -> None:
-        """Jump when a signal says so: SIGUSR1 forward, SIGUSR2 back."""
+        """Move the clock by `jump_ms` at each signal: SIGUSR1 forward, SIGUSR2 back."""
         with anyio.open_signal_receiver(signal.SIGUSR1, signal.SIGUSR2) as signals:
             async for signal_number in signals:
                 self.offset_ms += jump_ms if signal_number == signal.SIGUSR1 else -jump_ms
@@ -54,7 +54,7 @@
         self._number = 0
 
     async def run(self, holders: Callable[[], list[TaskHolder]]) -> None:
-        """Send one effect for each task that may be acted for, every `every_ms`."""
+        """Send one effect every `every_ms` for each task that this front may act for."""
         while True:
             await anyio.sleep(self.every_ms / 1000.0)
             for holder in holders():
@@ -71,7 +71,7 @@
             await self._stream.send(line)
             answer = await self._stream.receive(256)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
-            self._stream = None  # the effect may or may not have landed; the fence judges
+            self._stream = None  # the effect may or may not have arrived; the fence decides
             return
         if not answer.startswith(b"OK"):
             print(f"refused {owner.task} token={owner.token} {answer.decode().strip()}", flush=True)
@@ -126,24 +126,28 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(
-        description="Hold fleet tasks on etcd's v3 API and act while they are held"
+        description="Own fleet tasks on etcd's v3 API and act while they are owned"
     )
     parser.add_argument("--etcd", required=True)
     parser.add_argument("--target", required=True)
     parser.add_argument("--task", default="probe")
-    parser.add_argument("--tasks", default="", help="take part in these, by a comma between, instead of one")
-    parser.add_argument("--members", type=int, default=1, help="fronts that this process stands for")
+    parser.add_argument("--tasks", default="", help="comma-separated tasks to take part in, instead of one")
+    parser.add_argument("--members", type=int, default=1, help="number of fronts that this process acts as")
     parser.add_argument("--name", required=True)
     parser.add_argument("--ttl-ms", type=float, default=1000.0)
     parser.add_argument("--margin-ms", type=float, default=250.0)
     parser.add_argument("--drift", type=float, default=0.01)
     parser.add_argument("--renew-ms", type=float, default=200.0)
     parser.add_argument("--round-trip-ms", type=float, default=100.0)
-    parser.add_argument("--refresh-ms", type=float, default=500.0, help="between reads beside a watch")
+    parser.add_argument("--refresh-ms", type=float, default=500.0, help="interval of reads beside the watch")
     parser.add_argument("--every-ms", type=float, default=20.0)
-    parser.add_argument("--jump-ms", type=float, default=0.0, help="what SIGUSR1, SIGUSR2 move the clock by")
+    parser.add_argument(
+        "--jump-ms", type=float, default=0.0, help="what SIGUSR1 and SIGUSR2 move the clock by"
+    )
     parser.add_argument("--no-look", action="store_true", help="campaign without reading the key first")
-    parser.add_argument("--spread-ms", type=float, default=None, help="with --tasks: the longest wait to bid")
+    parser.add_argument(
+        "--spread-ms", type=float, default=None, help="with --tasks: the longest wait before a campaign"
+    )
     args = parser.parse_args()
     try:
         _parse_terms(args).check()
--- a/cometseam/coordination/election.py
+++ b/cometseam/coordination/election.py
@@ -1,15 +1,13 @@
-"""Holding a task on etcd's v3 API, through the `aetcd` client under anyio: campaign, renew, watch who holds
-it.
-
-The decisions are `cometseam.ownership.Ownership`'s; this file only asks the service and tells the machine
-what it saw, with the time each request was *sent* (the lease is counted from then, never from when the answer
-came). A campaign is one transaction (etcd's published Txn): if the task's key has never been created
-(`create_revision == 0`), put it with this front's lease, else read who holds it. The fencing token is the
-revision at which the key was created; a later owner's key is created later, so its token is higher.
-
-What cancels a call: leaving the task group of `run`; a request that takes longer than twice the terms' round
-trip passes its gRPC deadline and counts as not answered (it guards against a link that hangs rather than
-fails).
+"""Owning a task on etcd's v3 API, through the `aetcd` client under anyio: campaign, renew, read who owns it.
+
+`cometseam.ownership.Ownership` decides; this module only sends requests and records what it saw, with the
+time each request was *sent* (the lease is counted from then, never from when the answer came). A campaign is
+one transaction (etcd's published Txn): if the task's key does not exist (`create_revision == 0`), put it with
+this front's lease, otherwise read who owns it. The fencing token is the revision at which the key was
+created; a later owner's key is created later, so its token is higher.
+
+Cancellation: leaving the task group of `run`. A request that takes longer than twice the terms' round trip
+exceeds its gRPC deadline and counts as not answered (it guards against a link that hangs rather than fails).
 """
 
 import time
@@ -23,21 +21,22 @@
 from cometseam.ownership import Ownership, OwnershipTerms, State
 
 Clock = Callable[[], float]  # ms, monotonic
-UNANSWERED: Any = object()  # what `_ask` returns for a request that failed or took too long
+UNANSWERED: Any = object()  # what `call_or_unanswered` returns for a request that failed or timed out
 
 
 def boot_time() -> float:
-    """The clock of leases: ms since the machine started, the time that it was suspended included.
+    """Return the time by which leases are measured: ms since the machine started, also while suspended.
 
-    Not the front's own (Unix time that never goes back: it can be set), nor the plain monotonic one, which
-    stands still while the machine is suspended, so that on waking a lease that has ended seems to live.
+    The front's own clock (Unix time that never goes back) is unsuitable because it can be set, and the plain
+    monotonic one because it stops while the machine is suspended: on resume an expired lease would seem
+    valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 @dataclass(frozen=True)
 class ServiceAddress:
-    """Where the service is, as `host:port` on loopback or a fleet's address."""
+    """The service's address, given as `host:port`."""
 
     host: str
     port: int
@@ -51,31 +50,31 @@
 
 
 def owner_key(task: str) -> bytes:
-    """The task's key on the service."""
+    """Return the task's key on the service."""
     return f"/cometseam/owners/{task}".encode()
 
 
 def connect(address: ServiceAddress, terms: OwnershipTerms) -> aetcd.Client:
-    """A client whose every call has a deadline of twice the terms' round trip (whole ms, as seconds)."""
+    """Return a client whose calls all have a deadline of twice the terms' round trip."""
     return aetcd.Client(host=address.host, port=address.port, timeout=2 * terms.round_trip_ms / 1000.0)
 
 
 async def call_or_unanswered(call: Awaitable[Any]) -> Any:
-    """One request; `UNANSWERED` where it failed or passed the client's deadline.
+    """Await one request; return `UNANSWERED` where it failed or passed the client's deadline.
 
-    The deadline is the gRPC call's own (the client's `timeout`, see `connect`), never a cancel scope of ours
-    around the call: cancelling a grpc.aio call from outside was seen to end the whole task group that held it
-    (the agent returned at the first freeze of the service).
+    The deadline is the gRPC call's own (the client's `timeout`, see `connect`), not a cancel scope around the
+    call: cancelling a grpc.aio call from outside ended the whole task group that contained it (the agent
+    exited at the first freeze of the service).
     """
     try:
         return await call
-    except Exception:  # the link failed, the deadline passed or the service refused: not answered
+    except Exception:  # the link failed, the deadline passed or the service refused
         return UNANSWERED
 
 
 @dataclass(frozen=True)
 class UnusedLease:
-    """A lease that a lost campaign left unused: asked for at `sent_at` (ms), for `ttl_seconds`."""
+    """A lease that a lost campaign left unused: requested at `sent_at` (ms), for `ttl_seconds`."""
 
     lease: Any
     ttl_seconds: int
@@ -84,7 +83,7 @@
 
 
 class TaskHolder:
-    """One front's hold on one task: `run` campaigns and renews for as long as it is not cancelled."""
+    """One front's part in one task: `run` campaigns and renews until it is cancelled."""
 
     def __init__(
         self,
@@ -96,39 +95,41 @@
         read_first: bool = True,
     ) -> None:
         self.client = client
-        self.read_first = read_first  # read the key before asking for a lease: 1 call, not 3, while held
+        self.read_first = (
+            read_first  # before requesting a lease: 1 call instead of 3 while the task has an owner
+        )
         self.ownership = Ownership(task, terms)
         self.name = name
         self.clock = clock
         self.lease: Any = None
         self.unused_lease: UnusedLease | None = None
-        self.requests_sent = 0  # requests sent to the service, for the measure of its load
+        self.requests_sent = 0  # to the service, as a measure of its load
 
     async def _call(self, call: Awaitable[Any]) -> Any:
         self.requests_sent += 1
         return await call_or_unanswered(call)
 
     def _send_stamp(self) -> tuple[float, int | None]:
-        """When a request is sent, and how often the clock had gone back by then; None: the task is lost."""
+        """Return the send time of a request, and the clock regressions by then; None: the task is lost."""
         now = self.clock()
         self.ownership.tick(now)
         return now, None if self.ownership.state is State.LOST else self.ownership.clock_regressions
 
     async def campaign(self) -> None:
-        """Ask for a lease and try to create the task's key with it; tell the machine what came of it."""
+        """Request a lease and try to create the task's key with it; record a win in `ownership`."""
         now = self.clock()
         if not self.ownership.begin_campaign(now):
             return
         if self.read_first:
-            # While another holds the task, a candidate's campaign would be a grant, a failed transaction
-            # and a revoke: three calls each `renew_ms` from every candidate. One read tells the same.
+            # While another front owns the task, each campaign would be a lease grant, a failed transaction
+            # and a revoke: three calls every `renew_ms` from every candidate. One read shows the same.
             existing = await self._call(self.client.get(owner_key(self.ownership.task)))
             if existing is UNANSWERED or existing is not None:
                 return
         lease_grant, self.unused_lease = self.unused_lease, None
         now, clock_regressions = self._send_stamp()
         seconds = max(int(self.ownership.terms.ttl_ms // 1000), 1)
-        # A tenth of its time may be gone: that much less is left to act before the first renewal.
+        # At most a tenth of its time may have passed: that much less remains to act before the first renewal.
         reusable = lease_grant is not None and (lease_grant.ttl_seconds, lease_grant.clock_regressions) == (
             seconds,
             clock_regressions,
@@ -158,40 +159,43 @@
                 replies[0].response_put.header.revision, sent_at, self.clock(), clock_regressions or 0
             )
         else:
-            # For the next campaign soon, or to its own end: no more than one a front.
+            # Kept for a campaign soon after, or until it expires: at most one per front.
             self.unused_lease = lease_grant
 
     async def renew(self) -> None:
-        """Renew the lease, then look at who holds the key."""
+        """Renew the lease, then read who owns the key."""
         if self.lease is None:
             return
         sent_at, clock_regressions = self._send_stamp()
         if clock_regressions is None:
-            self.lease = None  # given up: not asked for again, it ends by itself
+            self.lease = None  # given up: not renewed again, it expires
             return
         reply = await self._call(self.lease.refresh())
         if reply is not UNANSWERED and reply is not None:
             self.ownership.record_renewal(sent_at, float(reply.TTL) * 1000.0, self.clock(), clock_regressions)
         entry = await self._call(self.client.get(owner_key(self.ownership.task)))
-        if entry is not UNANSWERED:  # `get` answers None for a key that is not there
+        if entry is not UNANSWERED:  # `get` returns None for a key that does not exist
             self.ownership.record_key_holder(entry.create_revision if entry is not None else 0, self.clock())
         self.ownership.tick(self.clock())
         if self.ownership.state is State.LOST:
-            self.lease = None  # renewed no more: given up, or gone at the service
+            self.lease = None  # not renewed again: given up, or gone at the service
 
     async def put_fenced(self, key: bytes, value: bytes) -> bool:
-        """Write a key as the task's owner, or not at all: in one transaction with the check of who owns it.
+        """Write a key as the task's owner, in one transaction with the check of the owner.
 
-        The service itself is the fence here: the write counts only while the task's key is the one that this
-        front created (its create revision is the token), however late the request arrives. The key goes with
-        the owner's lease. Returns whether it was written; unanswered counts as not, and may have been.
+        The service itself is the fence: the write is applied only while the task's key is the one that this
+        front created (its create revision is the token), however late the request arrives. The key is removed
+        with the owner's lease. Returns whether it was written; without an answer it returns False, although
+        the key may have been written.
         """
         put = self.client.transactions.put
         return self.lease is not None and await self._write_as_owner([put(key, value, self.lease)])
 
     async def write_fenced(self, keys: list[tuple[bytes, bytes | None]]) -> bool:
-        """Write keys, or remove those with None, as `put_fenced` does and all at once; they outlive this
-        owner."""
+        """Write keys, or remove those with None, in one transaction fenced like `put_fenced`.
+
+        The keys outlive this owner.
+        """
         tx = self.client.transactions
         return await self._write_as_owner([tx.delete(k) if v is None else tx.put(k, v) for k, v in keys])
 
@@ -213,7 +217,7 @@
         return bool(succeeded)
 
     async def run(self) -> None:
-        """Campaign and renew every `renew_ms`, until cancelled; on the way out, give the lease back."""
+        """Campaign and renew every `renew_ms`, until cancelled; then revoke the lease."""
         try:
             while True:
                 if self.lease is None:
@@ -225,13 +229,13 @@
             await self.release()
 
     async def renew_until_lost(self) -> None:
-        """Renew every `renew_ms` for as long as the task is held; return once it is lost."""
+        """Renew every `renew_ms` while the task is owned; return when it is lost."""
         while self.lease is not None:
             await anyio.sleep(self.ownership.terms.renew_ms / 1000.0)
             await self.renew()
 
     async def release(self) -> None:
-        """Give the lease back, so that the next owner need not wait for its end; also when cancelled."""
+        """Revoke the lease, so that the next owner need not wait for it to expire; also when cancelled."""
         if self.lease is not None:
             with anyio.CancelScope(shield=True), anyio.move_on_after(0.5):
                 await self._call(self.lease.revoke())
--- a/cometseam/coordination/fleet_member.py
+++ b/cometseam/coordination/fleet_member.py
@@ -1,12 +1,12 @@
-"""A front's part in the fleet: it holds tasks, probes caches while it holds `probe`, and hears verdicts.
+"""A front's membership in the fleet: it owns tasks, probes caches as owner of `probe`, and applies verdicts.
 
-Started by a front whose operator's file names a coordination service (`fleet.service`), and by nothing else.
-Who owns what, what to probe and what to rule are decided in `cometseam.ownership` and `cometseam.verdicts`;
-what a verdict changes for a pull is the module's. Between them this only carries: to the service, from the
-service, and to the router, by `judged`.
+Started only by a front whose operator's file names a coordination service (`fleet.service`). Ownership, what
+to probe and which verdict to publish are decided in `cometseam.ownership` and `cometseam.verdicts`; what a
+verdict changes for a pull is decided by the routing module. This module only carries data between the service
+and those, and passes verdicts to the router by `on_verdict`.
 
-When the service is not to be reached the front serves as without it: owners stop acting at their own bound,
-verdicts end at theirs, and pulls go by what the front sees itself.
+While the service is unreachable the front serves as without it: owners stop acting at their own deadline,
+verdicts expire, and pulls are routed by what the front observes itself.
 """
 
 import json
@@ -30,27 +30,27 @@
 
 __all__ = ["FleetMember", "boot_time", "decode_verdict", "encode_verdict"]
 
-PROBE_TASK = "probe"  # the task of probing caches
-LIST_TASK = "list"  # the task of reading the change log for all
+PROBE_TASK = "probe"  # probes the caches
+LIST_TASK = "list"  # reads the change log for all fronts
 VERDICT_PREFIX = b"/cometseam/verdicts/"
 LOG_KEY = b"/cometseam/log"
-MAX_VERDICT_BYTES = 1024  # bytes of a verdict
-POLL_INTERVAL_S = 0.02  # s between two looks at what is due
+MAX_VERDICT_BYTES = 1024
+POLL_INTERVAL_S = 0.02  # between two checks for due work
 
 VerdictCallback = Callable[[VerdictUpdate], None]
-# All groups, its own, wishes, parts.
+# The terms of all groups, the front's own groups, its demands, its shares.
 LimitSharingSetup = tuple[dict[str, SharingTerms], set[str], DemandReader, ShareCallback]
 
 
 def encode_verdict(token: int, verdict: CacheVerdict, age: float) -> bytes:
-    """Return a verdict as it stands on the service: JSON, at most `MOST_VALUE` bytes."""
+    """Return a verdict as it is stored on the service: JSON, at most `MAX_VERDICT_BYTES`."""
     return json.dumps(
         {"token": token, "number": verdict.number, "bad": verdict.bad, "age": round(age, 1)}
     ).encode()
 
 
 def decode_verdict(value: bytes) -> tuple[int, int, bool, float] | None:
-    """Return token, number, bad and age of a verdict; None for what is none (another version, or torn)."""
+    """Return token, number, bad and age of a verdict; None where it is invalid (another version, torn)."""
     if len(value) > MAX_VERDICT_BYTES:
         return None
     try:
@@ -65,7 +65,11 @@
 
 
 class FleetMember:
-    """One front's part. `addresses` is the list of caches as the router has it; `judged` tells the module."""
+    """One front's part in the fleet.
+
+    `addresses` returns the router's caches and their addresses; `on_verdict` is called with each verdict that
+    changes something; `log_client` is the front's client of the change log; `sharing` sets up shared limits.
+    """
 
     def __init__(
         self,
@@ -95,15 +99,14 @@
         self.log_watcher = KeyRangeWatcher(
             self.client, LOG_KEY, terms.refresh_ms, clock, self._apply_log_updates
         )
-        self._tail_token = self._published_polls = (
-            0  # the token that the tail belongs to; polls of it that were said
-        )
+        # The token that the tail belongs to, and the number of its polls that was last published.
+        self._tail_token = self._published_polls = 0
         if self.log_client is not None:
             self.log_client.is_passive, self.log_client.on_answer = self._pauses_polls, self._record_own_poll
-        self._was_prober = False  # whether this front was the prober when it last looked
+        self._was_prober = False  # at the last check
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Take part in the fleet until cancelled."""
         try:
             async with self.client, anyio.create_task_group() as tasks:
                 tasks.start_soon(self.task_owners.run)
@@ -122,8 +125,8 @@
             await anyio.sleep(POLL_INTERVAL_S)
             now = self.clock()
             for cache in self.verdict_table.expire(now):
-                # The module is not told: what it was told ends with it. That nobody says a verdict again is
-                # no word that the cache works.
+                # `on_verdict` is not called: the update that it received expires at the same time. That a
+                # verdict is not republished does not show that the cache works.
                 COUNTERS.add("fleet.verdict.lapsed")
                 log_event("fleet.lapsed", cache=cache)
             COUNTERS.record_max("fleet.view_age_ms", min(self.verdict_watcher.view.age(now), 1e9))
@@ -161,7 +164,7 @@
     # One front reads the change log for all
 
     def _active_reader(self) -> TaskHolder | None:
-        """This front's hold on the task `list`, where it may act for it."""
+        """Return this front's `TaskHolder` of the task `list`, or None where it may not act for it."""
         holder = self.task_owners.holders.get(LIST_TASK)
         active = holder is not None and holder.lease is not None and holder.ownership.may_act(self.clock())
         return holder if active else None
@@ -170,20 +173,20 @@
         return not self.log_poll_gate.should_poll(self._active_reader() is not None, self.clock())
 
     def _record_own_poll(self, answer: bytes) -> None:
-        """This front has polled the log itself."""
+        """Record the answer to this front's own poll of the log; the reader adds it to the tail."""
         COUNTERS.add("fleet.log.polls")
         self.log_poll_gate.record_catch_up(True)
         holder = self._active_reader()
         if holder is None:
             return
-        # The reader anew: its polls are counted from its token on.
+        # This front became the reader again: polls are counted anew for each token.
         if holder.ownership.token != self._tail_token:
             self.log_tail, self._tail_token, self._published_polls = LogTail(), holder.ownership.token, 0
         results = json.loads(answer)["results"]
         self.log_tail.add([(event["seq"], len(json.dumps(event)), event) for event in results])
 
     async def _publish_log(self, log_client: DiscoveryClient) -> None:
-        """Say after each poll of the reader's how far it has come."""
+        """Publish the reader's position and tail after each of its polls."""
         while True:
             await anyio.sleep(POLL_INTERVAL_S)
             holder = self._active_reader()
@@ -221,11 +224,11 @@
 
     def _apply_verdicts(self, changes: list[KeyChange]) -> None:
         now = self.clock()
-        # In a read of the whole, the newest owner's come last: an older one's that is not said again yet
-        # is then heard before the fence has moved on.
+        # In a read of the whole range, the newest owner's verdicts are applied last: an older owner's that is
+        # not republished yet is then applied before the fence rejects its token.
         for change in sorted(changes, key=lambda item: item.entry.mod_revision if item.entry else 0):
             if change.entry is None:
-                continue  # it went with its owner's lease; it ends here by this front's own clock
+                continue  # removed with its owner's lease; it expires here by this front's own clock
             verdict = decode_verdict(change.entry.value)
             if verdict is None:
                 COUNTERS.add("fleet.verdict.unusable")
--- a/cometseam/coordination/key_watcher.py
+++ b/cometseam/coordination/key_watcher.py
@@ -1,11 +1,11 @@
-"""Follows a range of keys on the service: reads of the whole, and a watch beside them.
+"""Follows a range of keys on the service by reads of the whole range and a watch beside them.
 
-The watch brings changes at once; the reads, every `refresh_ms`, bound how old the view can be whatever the
-watch does: a watch can be compacted under (the service has dropped the revision it starts from), can end
-with its connection, or can be silent on a link that swallows what it should carry, which nothing on the
-client's side tells from calm. What is known is a `KeyRangeView`'s to decide; this file only asks.
+The watch brings changes at once; the reads, every `refresh_ms`, bound the age of the view whatever happens to
+the watch: it can be compacted (the service has dropped the revision it starts from), can end with its
+connection, or can be silent on a link that loses its events, which the client can't distinguish from a quiet
+service. `KeyRangeView` decides what is known; this module only reads and watches.
 
-What cancels it: leaving `run`'s task group. Nothing is left at the service but a watch that ends with the
+Cancellation: leaving `run`'s task group. Nothing remains at the service but a watch that ends with the
 connection.
 """
 
@@ -19,11 +19,13 @@
 
 Clock = Callable[[], float]
 ChangesCallback = Callable[[list[KeyChange]], None]
-MIN_WATCH_INTERVAL_S = 0.05  # s between two watches: one that ends at once must not be begun in a loop
+MIN_WATCH_INTERVAL_S = (
+    0.05  # between two watches, so that one that ends at once is not restarted in a busy loop
+)
 
 
 class KeyRangeWatcher:
-    """One front's view of the keys below `prefix`; `tell` is called with every change, in order."""
+    """One front's view of the keys below `prefix`; `on_changes` is called with every change, in order."""
 
     def __init__(
         self,
@@ -46,7 +48,7 @@
             return None
 
     async def read(self) -> bool:
-        """Read the whole range once; tell what changed, and whether it was answered."""
+        """Read the whole range once and report the changes; return whether the read was answered."""
         sent_at, floor = self.clock(), self.view.revision
         self.reads += 1
         answer = await self._call(self.client.get_prefix(self.prefix))
@@ -70,11 +72,11 @@
                 changes = self.view.apply_event(kv.mod_revision, kv.key, entry)
                 if changes:
                     self.on_changes(changes)
-        except Exception:  # compacted under, or the connection ended: the next read mends what was missed
+        except Exception:  # compacted, or the connection ended: the next read brings what was missed
             self.watches_ended += 1
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the range until cancelled."""
         async with anyio.create_task_group() as tasks:
             while not await self.read():
                 await anyio.sleep(self.refresh_ms / 1000.0)
--- a/cometseam/coordination/limit_sharing.py
+++ b/cometseam/coordination/limit_sharing.py
@@ -1,15 +1,16 @@
-"""A front's part in sharing limits out: it asks, takes what it is granted, and shares out while it holds
-`limits`.
+"""A front's part in sharing limits: it reports demand, applies its grants, and issues grants while it owns
+the task `limits`.
 
-The decisions are `cometseam.limits`'; this carries asks and grants by keys on the service:
+`cometseam.limits` decides; this module carries reports and grants by keys on the service:
 
-    /cometseam/asks/<group>/<process>      written by a front, with a lease of its own: gone when it is
-    /cometseam/grants/<group>/<process>    written by the coordinator, fenced, without a lease: a new
-                                           coordinator must find what may still be in force
+    /cometseam/asks/<group>/<process>      a report, written by a front with a lease of its own: the key is
+                                           removed when the front's lease ends
+    /cometseam/grants/<group>/<process>    a grant, written by the coordinator, fenced, without a lease: a new
+                                           coordinator must find the grants that may still be valid
 
-A process has a name of its own at each start (a front that was restarted is another): its asks count from 1,
-and nothing that was granted before its start is its own. It asks only while some cache is cold, or, where
-relays out are capped, while it uses some.
+A process has a new name at each start (a restarted front is another process): its reports count from 1, and
+no grant from before its start applies to it. It reports only while some cache is cold or, where relays in
+flight are capped, while it uses some of that cap.
 """
 
 import json
@@ -26,57 +27,64 @@
 from cometseam.limits import CapacityGrant, Coordinator, DemandReport, FrontShares, SharingTerms
 from cometseam.ownership import KeyChange
 
-LIMITS_TASK = "limits"  # the task of sharing out
-REPORT_PREFIX, GRANT_PREFIX = b"/cometseam/asks/", b"/cometseam/grants/"
-POLL_INTERVAL_S = 0.02  # s between two looks at what is due
-MAX_KEYS_PER_TRANSACTION = 100  # keys in a transaction; etcd takes 128 by default
-MAX_VALUE_BYTES = 1 << 20  # bytes of an ask or a grant
+LIMITS_TASK = "limits"  # the task of the coordinator that issues grants
+REPORT_PREFIX = b"/cometseam/asks/"
+GRANT_PREFIX = b"/cometseam/grants/"
+POLL_INTERVAL_S = 0.02  # between two checks for changed shares and for the coordinator's task
+MAX_KEYS_PER_TRANSACTION = 100  # etcd accepts 128 operations by default
+MAX_VALUE_BYTES = 1 << 20  # of a report or a grant
 
-DemandReader = Callable[[], dict[str, dict[str, float]]]  # by group and limit
-ShareCallback = Callable[[str, str, float, float], None]  # group, limit, part, for how long (ms)
+DemandReader = Callable[[], dict[str, dict[str, float]]]  # demands by group and limit
+ShareCallback = Callable[[str, str, float, float], None]  # group, limit, share, for how long (ms)
 
 
 def encode_report(report: DemandReport) -> bytes:
-    """Return an ask as it stands on the service, as JSON."""
+    """Return a report as it is stored on the service, as JSON."""
     return json.dumps([report.number, *report.applied_grant, report.demands], separators=(",", ":")).encode()
 
 
 def encode_grant(grant: CapacityGrant) -> bytes:
-    """Return a grant as it stands on the service, as JSON."""
+    """Return a grant as it is stored on the service, as JSON."""
     fields = [grant.token, grant.number, grant.report_number, grant.shares, grant.previous_max_shares]
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
 def _decode_fields(value: bytes, integer_count: int, map_count: int) -> list[Any]:
-    """Read `whole` whole numbers and `maps` objects of parts; ValueError for anything else."""
+    """Decode a list of `integer_count` integers and `map_count` objects of shares.
+
+    Raises ValueError for anything else.
+    """
     if len(value) > MAX_VALUE_BYTES:
-        raise ValueError("too large")
+        raise ValueError("the value is larger than MAX_VALUE_BYTES")
     fields = json.loads(value)
     if not isinstance(fields, list) or len(fields) != integer_count + map_count:
-        raise ValueError("a list of its length was expected")
+        raise ValueError("a list with the expected number of fields was expected")
     if not all(type(number) is int and number >= 0 for number in fields[:integer_count]):
-        raise ValueError("whole numbers were expected")
+        raise ValueError("integers of 0 or more were expected")
     for shares in fields[integer_count:]:
         if not isinstance(shares, dict):
-            raise ValueError("an object was expected")
+            raise ValueError("an object of shares was expected")
         if not all(isinstance(share, int | float) and 0.0 <= share <= 1.0 for share in shares.values()):
-            raise ValueError("parts of a whole were expected")
+            raise ValueError("shares between 0 and 1 were expected")
     return fields
 
 
 def decode_report(value: bytes) -> DemandReport:
-    """Read what `encode_report` wrote; ValueError for anything else."""
+    """Decode what `encode_report` returned; raises ValueError for anything else."""
     number, token, grant_number, demands = _decode_fields(value, 3, 1)
     return DemandReport(number, (token, grant_number), demands)
 
 
 def decode_grant(value: bytes) -> CapacityGrant:
-    """Read what `encode_grant` wrote; ValueError for anything else."""
+    """Decode what `encode_grant` returned; raises ValueError for anything else."""
     return CapacityGrant(*_decode_fields(value, 3, 2))
 
 
 class LimitSharer:
-    """One front's part. `groups`: the terms of each group of fronts; `mine`: the groups that it is one of."""
+    """One front's part in sharing limits.
+
+    `groups`: the terms of each group of fronts; `own_groups`: the groups that this front belongs to.
+    """
 
     def __init__(
         self,
@@ -97,13 +105,12 @@
         self.grant_ttl = max(terms.grant_ttl for terms in groups.values())
         self._lease: Any = None
         self._lease_at = 0.0
-        self._notified: dict[
-            tuple[str, str], tuple[float, float]
-        ] = {}  # part and end as last told to the module
+        # Share and its end by group and limit, as last passed to `on_share`.
+        self._notified: dict[tuple[str, str], tuple[float, float]] = {}
         self._coordinators: dict[str, Coordinator] = {}
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Report, apply grants and coordinate until cancelled."""
         async with anyio.create_task_group() as tasks:
             for group in self.front_shares:
                 key = GRANT_PREFIX + f"{group}/{self.process}".encode()
@@ -120,7 +127,7 @@
     # The front's side
 
     async def _keep_lease(self) -> bool:
-        """Have a lease for the asks that lives on; another where it ended."""
+        """Renew the lease of the reports, or get a new one; return whether there is one."""
         now = self.clock()
         if self._lease is not None and now - self._lease_at < 0.5 * self.grant_ttl:
             return True
@@ -166,7 +173,7 @@
         return apply_grants
 
     def _notify_changes(self) -> None:
-        """Tell the module of each share that has changed, and until when it holds by itself."""
+        """Call `on_share` for each share that has changed, with how long it stays without a new grant."""
         now = self.clock()
         for group, share in self.front_shares.items():
             for name in share.limit_names():
@@ -177,7 +184,7 @@
             names = set(share.limit_names())
             for key in [key for key in self._notified if key[0] == group and key[1] not in names]:
                 del self._notified[key]
-                self.on_share(*key, share.terms.floor, 0.0)  # as without a grant: an equal part
+                self.on_share(*key, share.terms.floor, 0.0)  # as without a grant: an equal share
 
     # The coordinator's side
 
@@ -194,10 +201,10 @@
                 await self._run_coordinator(holder)
 
     async def _run_coordinator(self, holder: TaskHolder) -> None:
-        """Share out for as long as this front holds the task under this token and its clock does not turn."""
+        """Issue grants while this front owns the task under this token and its clock does not go back."""
         token, clock_regressions = holder.ownership.token, holder.ownership.clock_regressions
         self._coordinators = {group: Coordinator(terms, token) for group, terms in self.groups.items()}
-        # After the task was won: whatever an earlier coordinator still writes is refused by the service.
+        # Read after the task was won: the service rejects later writes of an earlier coordinator.
         answer = await call_or_unanswered(self.client.get_prefix(GRANT_PREFIX))
         if answer is UNANSWERED:
             return
--- a/cometseam/coordination/task_owners.py
+++ b/cometseam/coordination/task_owners.py
@@ -1,10 +1,10 @@
-"""One front's part in all the fleet's tasks: it follows who holds what, campaigns when its bid is due, and
-renews what it holds.
+"""One front's part in all the fleet's tasks: it watches who owns which task, campaigns when it is due, and
+renews the tasks that it owns.
 
-Beside `TaskHolder.run` (one task, the key read every `renew_ms`) this follows all tasks' keys by one watch,
-and campaigns only for what has come free, when the `CampaignScheduler` says so: with 200 fronts and 50 tasks
-the service bears one read a front every `refresh_ms` and a few campaigns a change, not a read a task a front
-a renewal.
+Unlike `TaskHolder.run` (one task, its key read every `renew_ms`) this follows the keys of all tasks by one
+watch, and campaigns only for tasks that have become free, when the `CampaignScheduler` says so: with 200
+fronts and 50 tasks the service bears one read per front every `refresh_ms` and a few campaigns per change of
+owner, not one read per task, front and renewal.
 """
 
 from collections.abc import Callable
@@ -18,12 +18,12 @@
 from cometseam.ownership import CampaignScheduler, KeyChange, OwnershipTerms, State
 
 OWNER_PREFIX = owner_key("")
-POLL_INTERVAL_S = 0.01  # s between two looks at bids that are due
+POLL_INTERVAL_S = 0.01  # between two checks for due campaigns
 StateCallback = Callable[[TaskHolder], None]
 
 
 class TaskOwners:
-    """Holds tasks for one front; `changed` is told each time that a task's standing may have changed."""
+    """Holds tasks for one front; `on_change` is called each time that a task's state may have changed."""
 
     def __init__(
         self,
@@ -48,13 +48,11 @@
         )
         self.owner_watcher = KeyRangeWatcher(client, OWNER_PREFIX, refresh_ms, clock, self._apply_changes)
         self._awaiting_first_read = True
-        self._unused_lease: UnusedLease | None = (
-            None  # the lease of a campaign that was lost, for the next one
-        )
+        self._unused_lease: UnusedLease | None = None  # of a lost campaign, for the next one
 
     def _apply_changes(self, changes: list[KeyChange]) -> None:
         now = self.clock()
-        if self._awaiting_first_read:  # what was not in the first read has no owner
+        if self._awaiting_first_read:  # a task without a key in the first read has no owner
             self._awaiting_first_read = False
             for task in self.holders:
                 if OWNER_PREFIX + task.encode() not in self.owner_watcher.view.entries_by_key:
@@ -63,8 +61,8 @@
             task = change.key.removeprefix(OWNER_PREFIX).decode(errors="replace")
             token = change.entry.create_revision if change.entry is not None else 0
             self.campaign_scheduler.record_key(task, token, now)
-            # What was told before this front's own key was created says nothing of it: the end of the
-            # owner before it can come by the watch after the campaign was won.
+            # A change from before this front's own key was created says nothing about that key: the removal
+            # of the earlier owner's key can arrive by the watch after the campaign was won.
             if (
                 task in self.holders
                 and self.owner_watcher.view.revision >= self.holders[task].ownership.token
@@ -72,14 +70,14 @@
                 self.holders[task].ownership.record_key_holder(token, now)
 
     async def run(self) -> None:
-        """Take part until cancelled; what is held then is given back."""
+        """Take part until cancelled; release the tasks owned then."""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.owner_watcher.run)
                 while True:
                     await anyio.sleep(POLL_INTERVAL_S)
                     if self._awaiting_first_read and self.owner_watcher.view.last_read_at is not None:
-                        self._apply_changes([])  # the range was empty: nothing was told
+                        self._apply_changes([])  # the range was empty, so the watcher reported no change
                     while (task := self.campaign_scheduler.pop_due_task(self.clock())) is not None:
                         await self._campaign(self.holders[task], group)
         finally:
@@ -94,14 +92,14 @@
         await holder.campaign()
         self._unused_lease, holder.unused_lease = holder.unused_lease, None
         if holder.lease is None:
-            return  # held by another, or unanswered: the bidder tries again until the key is seen
+            return  # another owner, or no answer: the scheduler retries until the key is seen
         self.campaign_scheduler.record_won(holder.ownership.task, holder.ownership.token)
         self.on_change(holder)
         group.start_soon(self._renew_until_lost, holder)
 
     async def _renew_until_lost(self, holder: TaskHolder) -> None:
-        # What is renewed late (the loop was busy, the process paused) is the owner's state to judge; the
-        # task ends here when it is lost, and the front campaigns again after a while.
+        # `Ownership` decides what a late renewal means (the loop was busy, the process paused); this ends
+        # when the task is lost, and the front campaigns again after a while.
         while holder.lease is not None:
             before = holder.ownership.state
             await anyio.sleep(holder.ownership.terms.renew_ms / 1000.0)
@@ -117,5 +115,5 @@
         return [h for h in self.holders.values() if h.lease is not None and h.ownership.may_act(now)]
 
     def states(self) -> dict[str, State]:
-        """Where this front stands towards each task."""
+        """This front's state for each task."""
         return {task: holder.ownership.state for task, holder in self.holders.items()}
