--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -13,7 +13,7 @@
     return owner.state
 
 
-SMALL = OwnershipTerms(ttl_ms=400.0, margin_ms=100.0, drift=0.05, renew_ms=100.0, round_trip_ms=50.0)
+SHORT_TERMS = OwnershipTerms(ttl_ms=400.0, margin_ms=100.0, drift=0.05, renew_ms=100.0, round_trip_ms=50.0)
 
 
 @pytest.mark.parametrize(
@@ -29,14 +29,14 @@
         (OwnershipTerms(1000.0, -1.0, 0.01, 200.0, 100.0), "margin_ms: -1.0 is below 0"),
     ],
 )
-def test_terms_that_cannot_keep_one_owner_are_refused_with_a_reason(
+def test_terms_that_cannot_ensure_one_owner_are_rejected_with_a_reason(
     terms: OwnershipTerms, reason: str
 ) -> None:
     with pytest.raises(OwnershipTermsError, match=reason):
         terms.check()
 
 
-def test_an_owner_acts_from_when_it_asked_and_stops_before_its_lease_can_end() -> None:
+def test_an_owner_may_act_from_the_time_of_its_request_until_before_its_lease_can_expire() -> None:
     owner = Ownership("probe", TERMS)
     assert owner.begin_campaign(0.0)
     owner.record_won(7, sent_at=0.0, now=40.0)
@@ -52,7 +52,7 @@
     assert owner.may_act_until() == 700.0 + TERMS.acting_window_ms
 
 
-def test_an_owner_that_hears_its_lease_or_key_is_gone_has_lost_and_campaigns_again() -> None:
+def test_an_owner_whose_lease_or_key_is_gone_has_lost_and_campaigns_again() -> None:
     owner = Ownership("probe", TERMS)
     owner.begin_campaign(0.0)
     owner.record_won(7, 0.0, 10.0)
@@ -67,20 +67,20 @@
     assert owner.pop_changes() == []
 
 
-def test_a_win_told_after_the_lease_may_have_ended_does_not_let_it_act() -> None:
+def test_a_win_reported_after_the_lease_may_have_expired_does_not_allow_acting() -> None:
     owner = Ownership("probe", TERMS)
     owner.begin_campaign(0.0)
     owner.record_won(3, sent_at=0.0, now=900.0)  # the answer came late: the time to act was over
     assert owner.state is State.LOSING and not owner.may_act(900.0)
 
 
-def test_the_fence_lets_the_newest_owner_through_and_refuses_older_tokens() -> None:
+def test_the_fence_admits_the_newest_owner_and_rejects_older_tokens() -> None:
     fence = Fence()
     assert fence.admit("probe", 5).passed
     assert fence.admit("probe", 5).passed
     assert fence.admit("probe", 9).passed
-    refused = fence.admit("probe", 5)
-    assert not refused.passed and refused.highest_token == 9
+    rejected = fence.admit("probe", 5)
+    assert not rejected.passed and rejected.highest_token == 9
     assert not fence.admit("probe", 0).passed
     assert fence.admit("purge", 2).passed  # tasks apart
     fence.forget("probe")
@@ -88,50 +88,50 @@
     assert Fence(enforce=False).admit("probe", 3).passed
 
 
-def test_every_interleaving_of_three_fronts_keeps_one_owner_at_a_time() -> None:
-    found = explore(SMALL, fronts=3, depth=12, max_time_steps=8)
-    assert found.states > 10_000
-    assert found.fencing_violation is None and found.exclusivity_violation is None
+def test_every_interleaving_of_three_fronts_has_at_most_one_acting_owner() -> None:
+    result = explore(SHORT_TERMS, fronts=3, depth=12, max_time_steps=8)
+    assert result.states > 10_000
+    assert result.fencing_violation is None and result.exclusivity_violation is None
 
 
-def test_without_the_fence_the_shortest_counterexample_is_the_late_effect() -> None:
-    found = explore(SMALL, fronts=3, depth=12, max_time_steps=8, enforce=False)
-    assert found.fencing_violation is not None
-    assert found.fencing_violation[-1].endswith("lands") and "wins" in " ".join(found.fencing_violation)
+def test_without_the_fence_the_shortest_counterexample_is_a_late_effect() -> None:
+    result = explore(SHORT_TERMS, fronts=3, depth=12, max_time_steps=8, enforce=False)
+    assert result.fencing_violation is not None
+    assert result.fencing_violation[-1].endswith("lands") and "wins" in " ".join(result.fencing_violation)
     # The fronts themselves never overlapped: only the effect in flight was late.
-    assert found.exclusivity_violation is None
+    assert result.exclusivity_violation is None
 
 
-def test_a_clock_slower_than_the_drift_allows_overlaps_and_the_fence_still_holds() -> None:
-    found = explore(SMALL, fronts=3, depth=12, max_time_steps=8, rates=(1.0, 1.0, 0.5))
-    assert found.exclusivity_violation is not None and found.exclusivity_violation[0] == "f2 wins 2"
-    assert found.fencing_violation is None
+def test_a_clock_slower_than_the_drift_allows_two_acting_owners_but_the_fence_holds() -> None:
+    result = explore(SHORT_TERMS, fronts=3, depth=12, max_time_steps=8, rates=(1.0, 1.0, 0.5))
+    assert result.exclusivity_violation is not None and result.exclusivity_violation[0] == "f2 wins 2"
+    assert result.fencing_violation is None
 
 
-def test_seeded_walks_deeper_than_the_exhaustive_depth_find_nothing_and_repeat() -> None:
-    first = random_walks(SMALL, fronts=3, walks=100, length=300, seed=0)
+def test_seeded_walks_beyond_the_exhaustive_depth_find_no_violation_and_are_repeatable() -> None:
+    first = random_walks(SHORT_TERMS, fronts=3, walks=100, length=300, seed=0)
     assert first.fencing_violation is None and first.exclusivity_violation is None and first.states == 30_000
     # The same budget with the fence off: a walk finds the late effect, and the same seed finds the same one.
-    again = random_walks(SMALL, fronts=3, walks=200, length=300, seed=0, enforce=False)
-    assert again.fencing_violation is not None and again.fencing_violation[-1].endswith("lands")
+    unfenced = random_walks(SHORT_TERMS, fronts=3, walks=200, length=300, seed=0, enforce=False)
+    assert unfenced.fencing_violation is not None and unfenced.fencing_violation[-1].endswith("lands")
     assert (
-        random_walks(SMALL, fronts=3, walks=200, length=300, seed=0, enforce=False).fencing_violation
-        == again.fencing_violation
+        random_walks(SHORT_TERMS, fronts=3, walks=200, length=300, seed=0, enforce=False).fencing_violation
+        == unfenced.fencing_violation
     )
 
 
-def test_what_run_starts_imports_nothing_of_coordination() -> None:
+def test_the_deployed_entry_point_does_not_import_coordination() -> None:
     """Off in `run`: what the deploy file starts loads neither the coordination client nor gRPC."""
     import subprocess
     import sys
 
-    watch = {"aetcd", "grpc", "cometseam.coordination", "cometseam.limits", "cometseam.ownership"}
-    code = f"import sys, cometseam.__main__, cometseam.serving\nprint(sorted(set(sys.modules) & {watch}))"
-    shown = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, check=True)
-    assert shown.stdout.strip() == "[]"
+    modules = {"aetcd", "grpc", "cometseam.coordination", "cometseam.limits", "cometseam.ownership"}
+    code = f"import sys, cometseam.__main__, cometseam.serving\nprint(sorted(set(sys.modules) & {modules}))"
+    completed = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == "[]"
 
 
-def test_an_owner_unheard_for_a_whole_lease_more_gives_the_task_up() -> None:
+def test_an_owner_without_an_answer_for_another_lease_time_gives_the_task_up() -> None:
     """Its keep-alives may still reach the service and hold the key for nobody: it must stop renewing."""
     owner = Ownership("probe", TERMS)
     owner.begin_campaign(0.0)
