--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,8 @@
-"""The ownership machine and the fence, alone and explored: every interleaving of three fronts to a depth."""
+"""The ownership state machine and the fence: unit tests, and every interleaving of three fronts explored.
+
+They guard against two fronts acting for one task at once: by a lease counted from the wrong moment, by clock
+drift, or by an effect that is still in flight when its owner loses the task.
+"""
 
 import pytest
 
@@ -9,7 +13,7 @@
 
 
 def state(owner: Ownership) -> State:
-    """The owner's state now (a call, so that a type checker does not fix it from an earlier assert)."""
+    """Return the owner's state (a call, so that a type checker does not narrow it by an earlier assert)."""
     return owner.state
 
 
@@ -48,7 +52,7 @@
     assert state(owner) is State.OWNER and owner.may_act(1400.0)
     owner.record_renewal(
         sent_at=100.0, ttl_ms=1000.0, now=1401.0
-    )  # an older keep-alive's late answer moves nothing back
+    )  # the late answer to an older keep-alive does not move the time back
     assert owner.may_act_until() == 700.0 + TERMS.acting_window_ms
 
 
@@ -70,7 +74,7 @@
 def test_a_win_reported_after_the_lease_may_have_expired_does_not_allow_acting() -> None:
     owner = Ownership("probe", TERMS)
     owner.begin_campaign(0.0)
-    owner.record_won(3, sent_at=0.0, now=900.0)  # the answer came late: the time to act was over
+    owner.record_won(3, sent_at=0.0, now=900.0)  # the answer came after the time to act
     assert owner.state is State.LOSING and not owner.may_act(900.0)
 
 
@@ -82,7 +86,7 @@
     rejected = fence.admit("probe", 5)
     assert not rejected.passed and rejected.highest_token == 9
     assert not fence.admit("probe", 0).passed
-    assert fence.admit("purge", 2).passed  # tasks apart
+    assert fence.admit("purge", 2).passed  # each task has its own token
     fence.forget("probe")
     assert fence.admit("probe", 1).passed
     assert Fence(enforce=False).admit("probe", 3).passed
@@ -98,7 +102,7 @@
     result = explore(SHORT_TERMS, fronts=3, depth=12, max_time_steps=8, enforce=False)
     assert result.fencing_violation is not None
     assert result.fencing_violation[-1].endswith("lands") and "wins" in " ".join(result.fencing_violation)
-    # The fronts themselves never overlapped: only the effect in flight was late.
+    # No two fronts acted at once: only the effect in flight was late.
     assert result.exclusivity_violation is None
 
 
@@ -111,7 +115,7 @@
 def test_seeded_walks_beyond_the_exhaustive_depth_find_no_violation_and_are_repeatable() -> None:
     first = random_walks(SHORT_TERMS, fronts=3, walks=100, length=300, seed=0)
     assert first.fencing_violation is None and first.exclusivity_violation is None and first.states == 30_000
-    # The same budget with the fence off: a walk finds the late effect, and the same seed finds the same one.
+    # With the fence off, walks find the late effect, and the same seed finds the same one.
     unfenced = random_walks(SHORT_TERMS, fronts=3, walks=200, length=300, seed=0, enforce=False)
     assert unfenced.fencing_violation is not None and unfenced.fencing_violation[-1].endswith("lands")
     assert (
@@ -121,7 +125,7 @@
 
 
 def test_the_deployed_entry_point_does_not_import_coordination() -> None:
-    """Off in `run`: what the deploy file starts loads neither the coordination client nor gRPC."""
+    """What the deploy file starts loads neither the coordination client nor gRPC."""
     import subprocess
     import sys
 
@@ -132,7 +136,7 @@
 
 
 def test_an_owner_without_an_answer_for_another_lease_time_gives_the_task_up() -> None:
-    """Its keep-alives may still reach the service and hold the key for nobody: it must stop renewing."""
+    """Its keep-alives may still reach the service and keep the key of a front that may not act."""
     owner = Ownership("probe", TERMS)
     owner.begin_campaign(0.0)
     owner.record_won(4, 0.0, 10.0)
