--- a/tests/test_ownership_fleet.py
+++ b/tests/test_ownership_fleet.py
@@ -24,29 +24,29 @@
     return "asyncio"
 
 
-async def test_an_owner_paused_past_its_lease_and_resumed_lands_nothing() -> None:
+async def test_the_effects_of_an_owner_paused_beyond_its_lease_are_rejected() -> None:
     late = await late_owner(enforce=True)
     assert late.anomalies == [] and late.arrived == late.refused > 0
 
 
-async def test_without_the_fence_the_late_owner_lands_its_effect() -> None:
+async def test_without_the_fence_the_checker_reports_the_late_effect() -> None:
     """The anomaly that the fence guards against happens when it is off: the checker catches it."""
-    found = (await late_owner(enforce=False)).anomalies
-    assert found and "landed after" in found[0]
+    anomalies_found = (await late_owner(enforce=False)).anomalies
+    assert anomalies_found and "landed after" in anomalies_found[0]
 
 
-async def test_an_owner_killed_is_replaced_within_two_leases() -> None:
+async def test_a_killed_owner_is_replaced_within_two_leases() -> None:
     async with fleet(3) as here:
         await here.target.wait_for(lambda history: owner_now(history) is not None, 20)
         first = owner_now(here.target.history)
         assert first is not None
         here.fronts[first.name].kill()
-        killed = anyio.current_time()
+        killed_at = anyio.current_time()
         await here.target.wait_for(
-            lambda history: any(e.passed and e.token > first.token for e in history), 10
+            lambda history: any(effect.passed and effect.token > first.token for effect in history), 10
         )
-        took = anyio.current_time() - killed
-        assert took < 2 * TTL_MS / 1000, took
+        elapsed = anyio.current_time() - killed_at
+        assert elapsed < 2 * TTL_MS / 1000, elapsed
         assert anomalies(here.target.history) == []
 
 
@@ -59,36 +59,38 @@
         assert overlaps(here.target.history) == [] and anomalies(here.target.history) == []
 
 
-async def test_keep_alives_that_arrive_unanswered_give_the_task_up_in_bounded_time() -> None:
+async def test_if_answers_to_keep_alives_are_lost_the_task_is_given_up_in_bounded_time() -> None:
     """Requests pass, answers are lost: the lease lives on at the service while its owner may not act."""
     async with fleet(3) as here:
         first = await first_owner(here)
         here.services[first.name].drop_down = True
-        lost = anyio.current_time()
-        bound = (TTL_MS * 0.99 - 250 + 2 * TTL_MS + 2 * 200) / 1000  # acting + two leases + two renewals
-        await here.target.wait_for(newer(first.token), bound + 2.0)
-        assert anyio.current_time() - lost < bound + 1.0
+        lost_at = anyio.current_time()
+        bound_s = (TTL_MS * 0.99 - 250 + 2 * TTL_MS + 2 * 200) / 1000  # acting + two leases + two renewals
+        await here.target.wait_for(newer(first.token), bound_s + 2.0)
+        assert anyio.current_time() - lost_at < bound_s + 1.0
         assert overlaps(here.target.history) == [] and anomalies(here.target.history) == []
 
 
-async def test_a_frozen_service_extends_the_lease_and_keeps_the_one_owner() -> None:
+async def test_after_a_short_freeze_of_the_service_the_owner_stays() -> None:
     """Frozen longer than the owner may act unrenewed, shorter than it waits before giving up: it goes on."""
     async with fleet(3) as here:
         first = await first_owner(here)
         os.kill(here.etcd.pid, signal.SIGSTOP)
         await anyio.sleep(1.2 * TTL_MS / 1000)
-        count = len(here.target.history)
+        event_count = len(here.target.history)
         os.kill(here.etcd.pid, signal.SIGCONT)
         try:
-            await here.target.wait_for(lambda history: len(history) > count + 20, 10)
+            await here.target.wait_for(lambda history: len(history) > event_count + 20, 10)
         except TimeoutError:
             raise AssertionError(here.said) from None
-        assert {e.token for e in here.target.history[count:]} == {first.token}  # the same owner, renewed
+        assert {effect.token for effect in here.target.history[event_count:]} == {
+            first.token
+        }  # the same owner, renewed
         assert any("losing" in line for line in here.said[first.name])  # it did stop while frozen
         assert overlaps(here.target.history) == []
 
 
-async def test_a_service_frozen_past_the_owners_patience_hands_the_task_on_once() -> None:
+async def test_after_a_freeze_beyond_the_owners_limit_another_front_takes_the_task() -> None:
     async with fleet(3) as here:
         first = await first_owner(here)
         os.kill(here.etcd.pid, signal.SIGSTOP)
@@ -98,7 +100,7 @@
         assert overlaps(here.target.history) == [] and anomalies(here.target.history) == []
 
 
-async def test_the_service_restarted_from_its_log_keeps_tokens_rising() -> None:
+async def test_tokens_keep_rising_after_the_service_restarts_from_its_log() -> None:
     async with fleet(3) as here:
         first = await first_owner(here)
         here.fronts[first.name].kill()
