--- a/tests/test_ownership_faults.py
+++ b/tests/test_ownership_faults.py
@@ -1,5 +1,8 @@
-"""Further faults between processes holding tasks: links that fail one way or late, clocks that jump, a
-service that is two, watches that miss what happened. Each reads the target's whole history at the end.
+"""Several processes that own tasks, under faults: links that fail one way or are late, clocks that jump, a
+split service, watches that miss changes.
+
+They guard against two owners of one task acting at once, and against a task without an owner for too long.
+Each test checks the target's whole history at the end.
 """
 
 import os
@@ -24,7 +27,7 @@
 
 
 async def wait_for_new_owner(here: Fleet, token: int, within: float) -> None:
-    """Wait until an effect of a newer owner is let through, and read the whole history."""
+    """Wait until an effect of a newer owner is admitted, and check the whole history."""
     try:
         await here.target.wait_for(newer(token), within)
     except TimeoutError:
@@ -50,7 +53,7 @@
 
 
 async def test_if_keep_alives_are_lost_while_reads_pass_another_front_takes_the_task() -> None:
-    """The key still reads as this front's own; only the answers to keep-alives may prolong its time."""
+    """Reads still show this front as the owner; only the answers to keep-alives may extend its lease."""
     async with fleet(2) as here:
         first = await first_owner(here)
         os.kill(here.etcd.pid, signal.SIGUSR1)
@@ -62,7 +65,7 @@
 
 @pytest.mark.parametrize("back", [False, True])
 async def test_an_owner_cut_off_with_a_jumping_clock_stops_before_another_acts(back: bool) -> None:
-    """Back by ten leases: without the guard its time to act would last ten leases longer."""
+    """Back by ten leases: without the check for regressions it could act for ten leases longer."""
     async with fleet(3, extra=("--jump-ms", str(10 * TTL_MS))) as here:
         first = await first_owner(here)
         await here.services[first.name].set_cut()
@@ -85,17 +88,17 @@
 
 
 async def test_with_a_split_service_the_fence_admits_one_owner_per_token() -> None:
-    """Both halves elect; they count revisions alike, so two owners may even come with one token."""
+    """Both halves elect an owner; their revisions count alike, so two owners may even have the same token."""
     async with fleet(4) as here:
         first = await first_owner(here)
         others = [name for name in here.fronts if name != first.name]
         split_member = await here.split_service(others[:2])
         try:
             await wait_for_new_owner(here, first.token, 6 * TTL_S)
-            here.fronts[first.name].kill()  # the first half elects anew: its revisions lie behind
+            here.fronts[first.name].kill()  # the first half elects another, at lower revisions
             await anyio.sleep(3 * TTL_S)
             names = Counter(effect.name for effect in here.target.history if not effect.passed)
-            assert names, "nobody of the other half was refused"
+            assert names, "no effect of the other half was rejected"
             assert anomalies(here.target.history) == []
         finally:
             split_member.kill()
@@ -116,7 +119,7 @@
 
 
 async def test_a_front_whose_watch_revision_was_compacted_still_takes_over() -> None:
-    """Cut off while the service changes and forgets, back with a revision that is no longer there."""
+    """It is cut off while the service changes keys and compacts them; its revision no longer exists after."""
     async with fleet(2, extra=TASK_OWNER_OPTIONS) as here:
         first = await first_owner(here)
         second = next(name for name in here.fronts if name != first.name)
@@ -133,7 +136,7 @@
 
 
 async def test_with_fronts_restarting_every_task_has_one_owner_at_a_time() -> None:
-    """Four processes of five fronts each contend for ten tasks; a process dies and comes back each second."""
+    """Four processes of five fronts each compete for ten tasks; each second one is killed and restarted."""
     tasks = [f"t{number}" for number in range(10)]
     extra = ("--tasks", ",".join(tasks), "--members", "5", "--every-ms", "50", "--refresh-ms", "500")
     async with fleet(4, extra=extra) as here:
--- a/tests/test_ownership_fleet.py
+++ b/tests/test_ownership_fleet.py
@@ -1,10 +1,10 @@
-"""Several real processes on loopback: the etcd stand-in, three fronts holding one task, a fenced target, our
-proxy.
+"""Several real processes on loopback: the etcd stand-in, three fronts with one task, a fenced target and a
+fault proxy.
 
-Each case throws a fault between processes, then reads the target's whole history (`anomalies`): no effect of
-an older owner may land after a newer one's. The classic case, an owner paused past its lease and resumed
-while its effect is still in flight, is also played with the target's fence off, to show that it is the fence
-that holds.
+Each test causes a fault between processes, then checks the target's whole history (`anomalies`): no effect of
+an older owner may be admitted after one of a newer owner. The typical case, an owner paused beyond its lease
+and resumed while its effect is in flight, also runs without the target's fence, to show that the fence is
+what prevents it.
 """
 
 import os
@@ -30,7 +30,7 @@
 
 
 async def test_without_the_fence_the_checker_reports_the_late_effect() -> None:
-    """The anomaly that the fence guards against happens when it is off: the checker catches it."""
+    """With the fence off the anomaly that it prevents occurs, and the checker reports it."""
     anomalies_found = (await late_owner(enforce=False)).anomalies
     assert anomalies_found and "landed after" in anomalies_found[0]
 
@@ -60,7 +60,7 @@
 
 
 async def test_if_answers_to_keep_alives_are_lost_the_task_is_given_up_in_bounded_time() -> None:
-    """Requests pass, answers are lost: the lease lives on at the service while its owner may not act."""
+    """Requests pass, answers are lost: the service keeps the lease valid while its owner may not act."""
     async with fleet(3) as here:
         first = await first_owner(here)
         here.services[first.name].drop_down = True
@@ -72,7 +72,7 @@
 
 
 async def test_after_a_short_freeze_of_the_service_the_owner_stays() -> None:
-    """Frozen longer than the owner may act unrenewed, shorter than it waits before giving up: it goes on."""
+    """Frozen longer than the owner may act without renewal, but shorter than it waits before giving up."""
     async with fleet(3) as here:
         first = await first_owner(here)
         os.kill(here.etcd.pid, signal.SIGSTOP)
