--- a/tests/standins/limits.py
+++ b/tests/standins/limits.py
@@ -15,179 +15,183 @@
 
 from cometseam.limits import CapacityGrant, Coordinator, DemandReport, FrontShares, SharingTerms
 
-STEP = 20.0  # ms between two looks at the sum
-NAME = "limit"
+STEP_MS = 20.0  # ms between two looks at the sum
+LIMIT_NAME = "limit"
 
 
 @dataclass
-class Front:
+class SimulatedFront:
     """One process: its share, its clock's rate and what it wishes for."""
 
     name: str
     share: FrontShares
-    rate: float
-    wish: Callable[[float], float]
+    clock_rate: float
+    demand: Callable[[float], float]
     cut_until: float = 0.0
     paused_until: float = 0.0
     alive: bool = True
     ended_at: float = 0.0
-    used: list[tuple[float, float]] = field(default_factory=list)  # [time, may] over the last window
+    recent_shares: list[tuple[float, float]] = field(default_factory=list)  # [time, may] over the last window
 
     def clock(self, now: float) -> float:
-        return 5_000.0 + now * self.rate
+        return 5_000.0 + now * self.clock_rate
 
-    def may(self, now: float) -> float:
-        return self.share.current_share(NAME, self.clock(now))
+    def current_share(self, now: float) -> float:
+        return self.share.current_share(LIMIT_NAME, self.clock(now))
 
 
 @dataclass
-class World:
+class SimulatedFleet:
     """The fleet; `play` lets time pass and returns the highest sum of shares seen."""
 
     terms: SharingTerms
-    chance: Random
-    late: float = 30.0  # ms, mean, of everything that is sent
-    lost: float = 0.0  # share of what is sent
+    rng: Random
+    mean_delay_ms: float = 30.0  # ms, mean, of everything that is sent
+    loss_rate: float = 0.0  # share of what is sent
     now: float = 0.0
-    fronts: list[Front] = field(default_factory=list)
-    asks: dict[str, DemandReport] = field(default_factory=dict)
-    grants: dict[str, CapacityGrant] = field(default_factory=dict)
+    fronts: list[SimulatedFront] = field(default_factory=list)
+    stored_reports: dict[str, DemandReport] = field(default_factory=dict)
+    stored_grants: dict[str, CapacityGrant] = field(default_factory=dict)
     token: int = 0
     coordinator: Coordinator | None = None
-    old: list[tuple[Coordinator, float]] = field(default_factory=list)  # paused, and until when
+    paused_coordinators: list[tuple[Coordinator, float]] = field(
+        default_factory=list
+    )  # paused, and until when
     service_down_until: float = 0.0
-    refused: int = 0  # grants written under an older token
+    rejected_grants: int = 0  # grants written under an older token
     sums: list[float] = field(default_factory=list)
-    granted: list[float] = field(default_factory=list)  # used at each look: the lesser of wish and share
-    _due: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
-    _order: "count[int]" = field(default_factory=count)
+    used_sums: list[float] = field(default_factory=list)  # used at each look: the lesser of wish and share
+    _scheduled: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
+    _sequence: "count[int]" = field(default_factory=count)
 
-    def at(self, when: float, run: Callable[[], None]) -> None:
-        heappush(self._due, (when, next(self._order), run))
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
+        heappush(self._scheduled, (when, next(self._sequence), action))
 
-    def send(self, front: Front | None, run: Callable[[], None]) -> None:
+    def send(self, front: SimulatedFront | None, action: Callable[[], None]) -> None:
         """Something goes over a link: late, or lost; nothing passes while a link is cut."""
         cut = front is not None and self.now < front.cut_until
-        if cut or self.now < self.service_down_until or self.chance.random() < self.lost:
+        if cut or self.now < self.service_down_until or self.rng.random() < self.loss_rate:
             return
-        self.at(self.now + self.chance.expovariate(1.0 / self.late), run)
+        self.schedule(self.now + self.rng.expovariate(1.0 / self.mean_delay_ms), action)
 
-    def add(self, wish: Callable[[float], float], name: str = "") -> Front:
+    def add(self, demand: Callable[[float], float], name: str = "") -> SimulatedFront:
         """A process starts; `name`: the front that it is, where it ran before."""
-        rate = 1.0 + self.terms.drift * (self.chance.random() - 0.5)
+        clock_rate = 1.0 + self.terms.drift * (self.rng.random() - 0.5)
         number = len(self.fronts)
-        front = Front(f"{name or f'f{number}'}.{number:x}", FrontShares(self.terms), rate, wish)
+        front = SimulatedFront(
+            f"{name or f'f{number}'}.{number:x}", FrontShares(self.terms), clock_rate, demand
+        )
         self.fronts.append(front)
-        self.at(self.now + self.terms.refresh * self.chance.random(), lambda: self._ask(front))
+        self.schedule(self.now + self.terms.refresh * self.rng.random(), lambda: self._send_report(front))
         return front
 
-    def kill(self, front: Front) -> None:
+    def kill(self, front: SimulatedFront) -> None:
         front.alive, front.ended_at = False, self.now
         name = front.name
-        self.at(self.now + self.terms.grant_ttl, lambda: self._gone(name))
+        self.schedule(self.now + self.terms.grant_ttl, lambda: self._expire_report(name))
 
-    def _gone(self, name: str) -> None:
-        self.asks.pop(name, None)
+    def _expire_report(self, name: str) -> None:
+        self.stored_reports.pop(name, None)
         if self.coordinator is not None:
             self.coordinator.record_report_removed(name)
 
-    def _ask(self, front: Front) -> None:
+    def _send_report(self, front: SimulatedFront) -> None:
         if not front.alive:
             return
-        self.at(self.now + self.terms.refresh, lambda: self._ask(front))
+        self.schedule(self.now + self.terms.refresh, lambda: self._send_report(front))
         if self.now < front.paused_until:
             return
-        ask = front.share.make_report({NAME: front.wish(self.now)}, front.clock(self.now))
-        self.send(front, lambda: self._asked(front.name, ask))
+        report = front.share.make_report({LIMIT_NAME: front.demand(self.now)}, front.clock(self.now))
+        self.send(front, lambda: self._store_report(front.name, report))
 
-    def _asked(self, name: str, ask: DemandReport) -> None:
-        known = self.asks.get(name)
-        if known is not None and known.number > ask.number:
+    def _store_report(self, name: str, report: DemandReport) -> None:
+        known = self.stored_reports.get(name)
+        if known is not None and known.number > report.number:
             return  # the service takes a later write of the same front over an earlier: by its one connection
-        self.asks[name] = ask
-        told = self.coordinator
+        self.stored_reports[name] = report
+        coordinator = self.coordinator
 
-        def hear() -> None:
-            if told is not None and told is self.coordinator:
-                told.record_report(name, ask, self.now)
+        def deliver() -> None:
+            if coordinator is not None and coordinator is self.coordinator:
+                coordinator.record_report(name, report, self.now)
 
-        self.send(None, hear)
+        self.send(None, deliver)
 
     def elect(self) -> None:
         """Another coordinator takes over; the one before may still be paused, and wake late."""
         self.token += 1
         self.coordinator = Coordinator(self.terms, self.token)
-        for name, grant in self.grants.items():
+        for name, grant in self.stored_grants.items():
             self.coordinator.record_existing_grant(name, grant, self.now)
-        for name, ask in self.asks.items():
-            self.coordinator.record_report(name, ask, self.now)
-        self._share_out(self.coordinator)
+        for name, report in self.stored_reports.items():
+            self.coordinator.record_report(name, report, self.now)
+        self._issue_grants(self.coordinator)
 
     def pause_coordinator(self, until: float) -> None:
         """It is paused past its lease: another is elected, and what it wrote late is refused."""
         if self.coordinator is not None:
-            self.old.append((self.coordinator, until))
+            self.paused_coordinators.append((self.coordinator, until))
             self.coordinator = None
 
-    def _share_out(self, coordinator: Coordinator) -> None:
+    def _issue_grants(self, coordinator: Coordinator) -> None:
         if coordinator is not self.coordinator:
             return
-        self.at(self.now + self.terms.refresh, lambda: self._share_out(coordinator))
-        self._write(coordinator)
+        self.schedule(self.now + self.terms.refresh, lambda: self._issue_grants(coordinator))
+        self._write_grants(coordinator)
 
-    def _write(self, coordinator: Coordinator) -> None:
+    def _write_grants(self, coordinator: Coordinator) -> None:
         for name, grant in coordinator.allocate(self.now).items():
-            self.send(None, lambda name=name, grant=grant: self._written(name, grant))  # type: ignore[misc]
+            self.send(None, lambda name=name, grant=grant: self._store_grant(name, grant))  # type: ignore[misc]
 
-    def _written(self, name: str, grant: CapacityGrant) -> None:
+    def _store_grant(self, name: str, grant: CapacityGrant) -> None:
         if grant.token != self.token:
-            self.refused += 1
+            self.rejected_grants += 1
             return
-        known = self.grants.get(name)
+        known = self.stored_grants.get(name)
         if known is not None and (known.token, known.number) > (grant.token, grant.number):
             return
-        self.grants[name] = grant
+        self.stored_grants[name] = grant
         front = next(front for front in self.fronts if front.name == name)
-        self.send(front, lambda: self._taken(front, grant))
+        self.send(front, lambda: self._deliver_grant(front, grant))
 
-    def _taken(self, front: Front, grant: CapacityGrant) -> None:
+    def _deliver_grant(self, front: SimulatedFront, grant: CapacityGrant) -> None:
         if front.alive and self.now < front.paused_until:
-            self.at(front.paused_until, lambda: self._taken(front, grant))
+            self.schedule(front.paused_until, lambda: self._deliver_grant(front, grant))
         elif front.alive:
             front.share.apply_grant(grant, front.clock(self.now))
 
-    def play(self, until: float, each: Callable[[], None] = lambda: None) -> float:
+    def play(self, until: float, on_step: Callable[[], None] = lambda: None) -> float:
         """Let time pass; `each` is called at every look."""
-        most = 0.0
+        max_sum = 0.0
         while self.now < until:
-            step = min(self.now + STEP, until)
-            while self._due and self._due[0][0] <= step:
-                self.now, _, run = heappop(self._due)
-                run()
-            self.now = step
-            for coordinator, wakes in list(self.old):
-                if wakes <= self.now:
-                    self.old.remove((coordinator, wakes))
-                    self._write(coordinator)  # it goes on as if nothing had been
-            each()
-            most = max(most, self._sum())
-        return most
-
-    def _sum(self) -> float:
-        whole, used = 0.0, 0.0
+            step_end = min(self.now + STEP_MS, until)
+            while self._scheduled and self._scheduled[0][0] <= step_end:
+                self.now, _, action = heappop(self._scheduled)
+                action()
+            self.now = step_end
+            for coordinator, resumes_at in list(self.paused_coordinators):
+                if resumes_at <= self.now:
+                    self.paused_coordinators.remove((coordinator, resumes_at))
+                    self._write_grants(coordinator)  # it goes on as if nothing had been
+            on_step()
+            max_sum = max(max_sum, self._record_sum())
+        return max_sum
+
+    def _record_sum(self) -> float:
+        total, used_total = 0.0, 0.0
         for front in list(self.fronts):
             if front.alive and self.now >= front.paused_until:
-                may = front.may(self.now)
-                front.used.append((self.now, may))
-                used += min(may, front.wish(self.now))
-            while front.used and front.used[0][0] < self.now - self.terms.window:
-                front.used.pop(0)
-            whole += max((may for _, may in front.used), default=0.0)
-        self.sums.append(whole)
-        self.granted.append(used)
-        return whole
+                share = front.current_share(self.now)
+                front.recent_shares.append((self.now, share))
+                used_total += min(share, front.demand(self.now))
+            while front.recent_shares and front.recent_shares[0][0] < self.now - self.terms.window:
+                front.recent_shares.pop(0)
+            total += max((share for _, share in front.recent_shares), default=0.0)
+        self.sums.append(total)
+        self.used_sums.append(used_total)
+        return total
 
     def processes(self) -> int:
         """How many processes count for the bound now: those alive, and those whose share is not over yet."""
-        over = self.terms.front_grant_ttl + self.terms.reduced_period + self.terms.window
-        return sum(front.alive or self.now - front.ended_at < over for front in self.fronts)
+        counted_for_ms = self.terms.front_grant_ttl + self.terms.reduced_period + self.terms.window
+        return sum(front.alive or self.now - front.ended_at < counted_for_ms for front in self.fronts)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,43 +21,43 @@
 )
 from cometseam.routing import capacity_demand
 from tests.drive import EDGES, PARENTS, SETTINGS, Drive
-from tests.standins.limits import NAME, World
+from tests.standins.limits import LIMIT_NAME, SimulatedFleet
 
 TERMS = SharingTerms(expected_fronts=4, grant_ttl=1000.0, refresh=200.0, window=500.0)
-Wish = Callable[[float], float]
+DemandFunction = Callable[[float], float]
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.dictionaries(st.sampled_from("abcdefgh"), st.floats(0.0, 1.0), min_size=1), st.floats(0.0, 1.0))
-def test_fair_shares_add_up_and_nobody_goes_short_for_one_who_has_more(
-    wishes: dict[str, float], whole: float
+def test_fair_shares_sum_to_the_capacity_and_no_smaller_share_is_below_its_demand_for_a_larger(
+    demands: dict[str, float], capacity: float
 ) -> None:
-    shares = max_min_fair_shares(wishes, whole)
-    assert abs(sum(shares.values()) - whole) < 1e-9 and all(share >= 0.0 for share in shares.values())
-    short = [name for name in wishes if shares[name] < wishes[name] - 1e-9]
-    for name in short:
-        assert all(shares[name] >= shares[other] - 1e-9 or other not in short for other in wishes)
-        assert all(shares[other] <= max(shares[name], wishes[other]) + 1e-9 for other in wishes)
+    shares = max_min_fair_shares(demands, capacity)
+    assert abs(sum(shares.values()) - capacity) < 1e-9 and all(share >= 0.0 for share in shares.values())
+    below_demand = [name for name in demands if shares[name] < demands[name] - 1e-9]
+    for name in below_demand:
+        assert all(shares[name] >= shares[other] - 1e-9 or other not in below_demand for other in demands)
+        assert all(shares[other] <= max(shares[name], demands[other]) + 1e-9 for other in demands)
 
 
-def test_terms_by_which_shares_could_not_be_moved_are_refused() -> None:
-    for bad, term in (
+def test_terms_under_which_shares_cannot_be_moved_are_rejected() -> None:
+    for invalid, term in (
         (SharingTerms(0, 1000.0, 200.0, 0.0), "expected"), (SharingTerms(4, 500.0, 200.0, 0.0), "lasts"),
         (SharingTerms(4, 1000.0, 200.0, 0.0, 0.2), "drift"), (SharingTerms(4, 1000.0, 200.0, -1.0), "window"),
     ):  # fmt: skip
         with pytest.raises(SharingTermsError, match=term):
-            bad.check()
+            invalid.check()
     assert TERMS.max_total_share(4) == 1.0 and TERMS.max_total_share(6) == 1.5
 
 
 # The front's side
 
 
-def test_a_share_is_the_grants_then_the_lesser_then_the_floor() -> None:
+def test_a_share_is_the_granted_one_then_the_smaller_of_it_and_the_floor_then_the_floor() -> None:
     share = FrontShares(TERMS)
     assert share.current_share("x", 0.0) == 0.25
-    ask = share.make_report({"x": 0.9, "y": 0.1}, 100.0)
-    assert share.apply_grant(CapacityGrant(7, 1, ask.number, {"x": 0.8, "y": 0.05}), 300.0)
+    report = share.make_report({"x": 0.9, "y": 0.1}, 100.0)
+    assert share.apply_grant(CapacityGrant(7, 1, report.number, {"x": 0.8, "y": 0.05}), 300.0)
     assert (share.current_share("x", 1089.0), share.current_share("y", 1089.0)) == (0.8, 0.05)
     # 100 + 990: from when it asked.
     assert (share.current_share("x", 1091.0), share.current_share("y", 1091.0)) == (0.25, 0.05)
@@ -69,7 +69,7 @@
     assert share.current_share("y", 1091.0 + TERMS.reduced_period) == 0.25 and share.limit_names() == ["x"]
 
 
-def test_a_grant_that_is_older_late_or_for_another_ask_is_passed_over() -> None:
+def test_a_grant_that_is_older_late_or_for_an_unknown_report_is_ignored() -> None:
     share = FrontShares(TERMS)
     first, second = share.make_report({}, 0.0), share.make_report({}, 200.0)
     assert share.apply_grant(CapacityGrant(7, 5, second.number, {"x": 0.6}), 300.0)
@@ -82,57 +82,57 @@
     assert share.make_report({}, 995.0).applied_grant == (7, 5)
 
 
-def test_a_clock_that_goes_back_ends_all_grants() -> None:
+def test_a_clock_that_goes_back_expires_all_grants() -> None:
     share = FrontShares(TERMS)
-    ask = share.make_report({}, 10_000.0)
-    share.apply_grant(CapacityGrant(7, 1, ask.number, {"x": 0.8}), 10_100.0)
+    report = share.make_report({}, 10_000.0)
+    share.apply_grant(CapacityGrant(7, 1, report.number, {"x": 0.8}), 10_100.0)
     assert (
         share.current_share("x", 10_200.0) == 0.8
         and share.current_share("x", 2_000.0) == 0.25
         and share.clock_regressions == 1
     )
-    assert not share.apply_grant(CapacityGrant(7, 2, ask.number, {"x": 0.8}), 2_100.0)
+    assert not share.apply_grant(CapacityGrant(7, 2, report.number, {"x": 0.8}), 2_100.0)
 
 
-def test_what_is_asked_and_remembered_is_bounded() -> None:
+def test_the_limits_in_a_report_and_the_stored_send_times_are_bounded() -> None:
     share = FrontShares(TERMS)
-    ask = share.make_report({f"c{n}": n / 3000.0 for n in range(3000)}, 0.0)
-    assert len(ask.demands) == 1024 and min(ask.demands.values()) > 0.65
+    report = share.make_report({f"c{n}": n / 3000.0 for n in range(3000)}, 0.0)
+    assert len(report.demands) == 1024 and min(report.demands.values()) > 0.65
     for _ in range(100):
         share.make_report({}, 0.0)
-    assert not share.apply_grant(CapacityGrant(7, 1, ask.number, {}), 1.0) and share.late_grants == 1
+    assert not share.apply_grant(CapacityGrant(7, 1, report.number, {}), 1.0) and share.late_grants == 1
 
 
 # The coordinator's side
 
 
-def test_a_share_moves_only_when_it_was_given_back_and_its_window_is_over() -> None:
+def test_a_share_moves_only_after_it_was_given_up_and_its_window_is_over() -> None:
     terms = SharingTerms(expected_fronts=2, grant_ttl=1000.0, refresh=200.0, window=500.0)
-    one, two = FrontShares(terms), FrontShares(terms)
+    first_share, second_share = FrontShares(terms), FrontShares(terms)
     coordinator, now = Coordinator(terms, 3), 0.0
     seen: list[tuple[float, float]] = []
-    for turn in range(40):
-        now = 200.0 * turn
-        wishes = (1.0, 0.0) if turn < 20 else (0.0, 1.0)
-        for name, share, wish in (("a", one, wishes[0]), ("b", two, wishes[1])):
-            coordinator.record_report(name, share.make_report({"x": wish}, now), now)
+    for step in range(40):
+        now = 200.0 * step
+        demands = (1.0, 0.0) if step < 20 else (0.0, 1.0)
+        for name, share, demand in (("a", first_share, demands[0]), ("b", second_share, demands[1])):
+            coordinator.record_report(name, share.make_report({"x": demand}, now), now)
         grants = coordinator.allocate(now)
-        one.apply_grant(grants["a"], now)
-        two.apply_grant(grants["b"], now)
-        seen.append((one.current_share("x", now), two.current_share("x", now)))
+        first_share.apply_grant(grants["a"], now)
+        second_share.apply_grant(grants["b"], now)
+        seen.append((first_share.current_share("x", now), second_share.current_share("x", now)))
         assert sum(seen[-1]) <= 1.0 + 1e-9
     assert seen[19] == (1.0, 0.0) and seen[39] == (0.0, 1.0)
-    moved = next(turn for turn in range(20, 40) if seen[turn][1] > 0.9)
-    given = next(turn for turn in range(20, 40) if seen[turn][0] < 0.1)
+    moved = next(step for step in range(20, 40) if seen[step][1] > 0.9)
+    given = next(step for step in range(20, 40) if seen[step][0] < 0.1)
     assert 3 <= moved - given <= 4  # the window of 500 ms past the word that it was given back
 
 
-def test_a_front_that_is_not_heard_keeps_its_floor_and_an_idle_one_lends_it() -> None:
+def test_the_floor_is_reserved_for_a_front_that_has_not_reported_and_not_for_an_idle_one() -> None:
     terms = SharingTerms(expected_fronts=4, grant_ttl=1000.0, refresh=200.0, window=0.0)
     shares = {name: FrontShares(terms) for name in "ab"}
     coordinator = Coordinator(terms, 3)
-    for turn in range(30):
-        now = 200.0 * turn
+    for step in range(30):
+        now = 200.0 * step
         for name, share in shares.items():
             coordinator.record_report(name, share.make_report({"x": float(name == "a")}, now), now)
         for name, grant in coordinator.allocate(now).items():
@@ -142,26 +142,26 @@
     assert shares["b"].current_share("x", now) < 1e-9
 
 
-def test_a_new_coordinator_counts_what_stands_on_the_service() -> None:
+def test_a_new_coordinator_counts_the_grants_stored_on_the_service() -> None:
     terms = SharingTerms(expected_fronts=2, grant_ttl=1000.0, refresh=200.0, window=0.0)
     coordinator = Coordinator(terms, 9)
     coordinator.record_existing_grant("a", CapacityGrant(3, 50, 8, {"x": 0.9}), 0.0)
     coordinator.record_report("b", DemandReport(1, (0, 0), {"x": 1.0}), 10.0)
     assert coordinator.allocate(20.0)["b"].shares["x"] <= 0.5  # its floor, which is its own anyhow
     assert coordinator.allocate(1000.0)["b"].shares["x"] <= 0.5
-    for turn in range(8):  # once what it found has ended, `a` keeps its floor and no more
-        now = 1020.0 + 200.0 * turn
-        coordinator.record_report("b", DemandReport(2 + turn, (9, 2 + turn), {"x": 1.0}), now)
+    for step in range(8):  # once what it found has ended, `a` keeps its floor and no more
+        now = 1020.0 + 200.0 * step
+        coordinator.record_report("b", DemandReport(2 + step, (9, 2 + step), {"x": 1.0}), now)
         share = coordinator.allocate(now)["b"].shares["x"]
     assert share == 0.5
 
 
-def test_a_front_that_starts_anew_takes_the_place_of_the_process_before() -> None:
+def test_a_restarted_front_supersedes_its_earlier_process() -> None:
     terms = SharingTerms(expected_fronts=2, grant_ttl=1000.0, refresh=200.0, window=500.0)
     coordinator = Coordinator(terms, 3)
     shares_of = {"a.1": FrontShares(terms), "b.1": FrontShares(terms)}
-    for turn in range(30):
-        now = 200.0 * turn
+    for step in range(30):
+        now = 200.0 * step
         for name, share in shares_of.items():
             coordinator.record_report(
                 name, share.make_report({"x": 0.9 if name[0] == "a" else 0.1}, now), now
@@ -169,8 +169,8 @@
         for name, grant in coordinator.allocate(now).items():
             shares_of[name].apply_grant(grant, now)
     assert shares_of["a.1"].current_share("x", now) > 0.85
-    anew = FrontShares(terms)
-    coordinator.record_report("a.2", anew.make_report({"x": 0.1}, now), now)
+    restarted = FrontShares(terms)
+    coordinator.record_report("a.2", restarted.make_report({"x": 0.1}, now), now)
     assert abs(coordinator.committed_share("x", now) - 1.5) < 0.1  # the old one's, the new one's floor, b's
     # Late word of a process that is no more.
     coordinator.record_report("a.1", DemandReport(99, (3, 99), {"x": 1.0}), now)
@@ -184,118 +184,128 @@
 # The whole fleet
 
 
-def steady(value: float) -> Wish:
+def constant_demand(value: float) -> DemandFunction:
     return lambda now: value
 
 
-def world(
+def simulated_fleet(
     seed: int,
     count: int,
-    wishes: list[Wish],
+    demands: list[DemandFunction],
     terms: SharingTerms = TERMS,
-    late: float = 30.0,
-    lost: float = 0.0,
-) -> World:
-    here = World(terms, Random(seed), late, lost)
+    mean_delay_ms: float = 30.0,
+    loss_rate: float = 0.0,
+) -> SimulatedFleet:
+    fleet = SimulatedFleet(terms, Random(seed), mean_delay_ms, loss_rate)
     for number in range(count):
-        here.add(wishes[number % len(wishes)])
-    here.elect()
-    return here
+        fleet.add(demands[number % len(demands)])
+    fleet.elect()
+    return fleet
 
 
-def test_uneven_demand_gets_nearly_all_of_the_limit_and_never_more() -> None:
-    here = world(1, 4, [steady(1.0), steady(0.02), steady(0.02), steady(0.02)])
-    assert here.play(20_000.0) <= 1.0 + 1e-9
-    late = here.granted[len(here.granted) // 2 :]
-    assert sum(late) / len(late) >= 0.95  # without sharing: 0.25 + 3 * 0.02
+def test_uneven_demand_uses_nearly_all_of_the_limit_and_never_more() -> None:
+    fleet = simulated_fleet(
+        1, 4, [constant_demand(1.0), constant_demand(0.02), constant_demand(0.02), constant_demand(0.02)]
+    )
+    assert fleet.play(20_000.0) <= 1.0 + 1e-9
+    late_sums = fleet.used_sums[len(fleet.used_sums) // 2 :]
+    assert sum(late_sums) / len(late_sums) >= 0.95  # without sharing: 0.25 + 3 * 0.02
 
 
-def test_calm_brings_every_front_back_to_its_fair_share() -> None:
-    here = world(2, 4, [lambda now: 1.0 if now < 5_000.0 else 0.5, lambda now: 0.0 if now < 5_000.0 else 0.5])
-    here.play(5_000.0)
-    here.play(5_000.0 + 3 * TERMS.grant_ttl)
-    assert all(abs(front.may(here.now) - 0.25) < 0.01 for front in here.fronts)
+def test_with_equal_demand_every_front_returns_to_its_fair_share() -> None:
+    fleet = simulated_fleet(
+        2, 4, [lambda now: 1.0 if now < 5_000.0 else 0.5, lambda now: 0.0 if now < 5_000.0 else 0.5]
+    )
+    fleet.play(5_000.0)
+    fleet.play(5_000.0 + 3 * TERMS.grant_ttl)
+    assert all(abs(front.current_share(fleet.now) - 0.25) < 0.01 for front in fleet.fronts)
 
 
 FAULTS = ("cut", "pause", "kill", "coordinator killed", "coordinator paused", "service down")
 
 
-def fault(here: World, kind: str, chance: Random) -> None:
+def inject_fault(fleet: SimulatedFleet, kind: str, rng: Random) -> None:
     """Do one thing that goes wrong."""
-    front = chance.choice(here.fronts)
-    length = chance.choice((0.3, 1.0, 3.0, 8.0)) * here.terms.grant_ttl
+    front = rng.choice(fleet.fronts)
+    length = rng.choice((0.3, 1.0, 3.0, 8.0)) * fleet.terms.grant_ttl
     if kind == "cut":
-        front.cut_until = here.now + length
+        front.cut_until = fleet.now + length
     elif kind == "pause":
-        front.paused_until = here.now + length
+        front.paused_until = fleet.now + length
     elif kind == "kill" and front.alive:
-        here.kill(front)
-        here.add(front.wish, front.name.rpartition(".")[0] if chance.random() < 0.5 else "")
+        fleet.kill(front)
+        fleet.add(front.demand, front.name.rpartition(".")[0] if rng.random() < 0.5 else "")
     elif kind == "coordinator killed":
-        here.coordinator = None
-        here.at(here.now + here.terms.grant_ttl, lambda: here.elect() if here.coordinator is None else None)
+        fleet.coordinator = None
+        fleet.schedule(
+            fleet.now + fleet.terms.grant_ttl, lambda: fleet.elect() if fleet.coordinator is None else None
+        )
     elif kind == "coordinator paused":
-        here.pause_coordinator(here.now + length)
-        here.at(here.now + here.terms.grant_ttl, lambda: here.elect() if here.coordinator is None else None)
+        fleet.pause_coordinator(fleet.now + length)
+        fleet.schedule(
+            fleet.now + fleet.terms.grant_ttl, lambda: fleet.elect() if fleet.coordinator is None else None
+        )
     elif kind == "service down":
-        here.service_down_until = here.now + length
+        fleet.service_down_until = fleet.now + length
 
 
-def hurt(seed: int, length: float = 20_000.0, kinds: tuple[str, ...] = FAULTS) -> tuple[float, World]:
+def play_with_faults(
+    seed: int, length: float = 20_000.0, kinds: tuple[str, ...] = FAULTS
+) -> tuple[float, SimulatedFleet]:
     """Play a fleet with changing demand and faults by chance; return by how much it was over the bound."""
-    chance = Random(seed)
-    count = chance.choice((2, 4, 4, 4, 6))
+    rng = Random(seed)
+    count = rng.choice((2, 4, 4, 4, 6))
 
-    def wish(number: int) -> Wish:
-        period, level = chance.choice((1_000.0, 4_000.0)), chance.random()
+    def demand(number: int) -> DemandFunction:
+        period, level = rng.choice((1_000.0, 4_000.0)), rng.random()
         return lambda now: level if int(now / period + number) % 3 else 1.0
 
-    here = world(seed, count, [wish(number) for number in range(count)], lost=chance.choice((0.0, 0.1, 0.4)),
-                 late=chance.choice((5.0, 40.0, 150.0)))  # fmt: skip
-    over = [0.0]
+    fleet = simulated_fleet(seed, count, [demand(number) for number in range(count)], loss_rate=rng.choice((0.0, 0.1, 0.4)),
+                 mean_delay_ms=rng.choice((5.0, 40.0, 150.0)))  # fmt: skip
+    excess = [0.0]
 
-    def each() -> None:
-        if chance.random() < 0.01:
-            fault(here, chance.choice(kinds), chance)
-        if here.sums:
-            over[0] = max(over[0], here.sums[-1] - here.terms.max_total_share(here.processes()))
+    def on_step() -> None:
+        if rng.random() < 0.01:
+            inject_fault(fleet, rng.choice(kinds), rng)
+        if fleet.sums:
+            excess[0] = max(excess[0], fleet.sums[-1] - fleet.terms.max_total_share(fleet.processes()))
 
-    here.play(length, each)
-    return over[0], here
+    fleet.play(length, on_step)
+    return excess[0], fleet
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_the_sum_stays_within_the_stated_bound_under_every_fault(seed: int) -> None:
-    over, _ = hurt(seed)
-    assert over <= 1e-9
+def test_the_sum_of_shares_stays_within_the_stated_bound_under_faults(seed: int) -> None:
+    excess, _ = play_with_faults(seed)
+    assert excess <= 1e-9
 
 
-def test_the_checker_sees_a_coordinator_that_lends_what_may_still_be_used(
+def test_the_check_fails_for_a_coordinator_that_grants_shares_still_in_use(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Without counting what was written before, the sum goes over the limit; the play above would show it."""
     monkeypatch.setattr(Coordinator, "max_share", lambda self, member, name, now: 0.0)
-    assert max(hurt(seed)[0] for seed in range(6)) > 0.1
+    assert max(play_with_faults(seed)[0] for seed in range(6)) > 0.1
 
 
-def test_a_coordinator_that_wakes_late_is_refused_by_the_service() -> None:
-    here = world(3, 4, [steady(1.0), steady(0.1)])
-    here.play(3_000.0)
-    here.pause_coordinator(3_700.0)
-    here.play(3_600.0)
-    here.elect()
-    assert here.play(12_000.0) <= 1.0 + 1e-9 and here.refused > 0
+def test_the_service_rejects_grants_of_a_coordinator_that_resumes_late() -> None:
+    fleet = simulated_fleet(3, 4, [constant_demand(1.0), constant_demand(0.1)])
+    fleet.play(3_000.0)
+    fleet.pause_coordinator(3_700.0)
+    fleet.play(3_600.0)
+    fleet.elect()
+    assert fleet.play(12_000.0) <= 1.0 + 1e-9 and fleet.rejected_grants > 0
 
 
-def test_all_links_cut_for_three_leases_end_at_the_floor_and_come_back() -> None:
-    here = world(4, 4, [steady(1.0), steady(0.02)])
-    here.play(5_000.0)
-    here.service_down_until = 5_000.0 + 3 * TERMS.grant_ttl + TERMS.reduced_period
-    assert here.play(here.service_down_until - 100.0) <= 1.0 + 1e-9
-    assert all(front.may(here.now) <= 0.25 for front in here.fronts)
-    here.play(here.now + 6_000.0)
-    assert sum(front.may(here.now) for front in here.fronts[::2]) > 0.9
-    assert here.fronts[0].share.limit_names() == [NAME]
+def test_with_all_links_cut_for_three_leases_shares_fall_to_the_floor_and_recover() -> None:
+    fleet = simulated_fleet(4, 4, [constant_demand(1.0), constant_demand(0.02)])
+    fleet.play(5_000.0)
+    fleet.service_down_until = 5_000.0 + 3 * TERMS.grant_ttl + TERMS.reduced_period
+    assert fleet.play(fleet.service_down_until - 100.0) <= 1.0 + 1e-9
+    assert all(front.current_share(fleet.now) <= 0.25 for front in fleet.fronts)
+    fleet.play(fleet.now + 6_000.0)
+    assert sum(front.current_share(fleet.now) for front in fleet.fronts[::2]) > 0.9
+    assert fleet.fronts[0].share.limit_names() == [LIMIT_NAME]
 
 
 # What the module makes of its part, and what it wishes for
@@ -309,7 +319,7 @@
     return drive, EDGES[0]
 
 
-def sent_to(drive: Drive, cache: int, pulls: int = 200) -> int:
+def count_relays_to(drive: Drive, cache: int, pulls: int = 200) -> int:
     """Pulls of 300 ms each, the workload's mean, within half a second; return how many reached the cache."""
     first, count = max(drive.relays, default=0) + 1, 0
     for number in range(first, first + pulls):
@@ -321,31 +331,35 @@
     return count
 
 
-def test_the_modules_budget_of_a_cold_cache_goes_by_its_granted_part() -> None:
+def test_the_slow_start_budget_of_a_cold_cache_follows_the_granted_share() -> None:
     counts = []
-    for part in (None, 0.0, 0.5, 1.0):
+    for share in (None, 0.0, 0.5, 1.0):
         drive, cold = cold_front()
-        if part is not None:
-            drive.tell(i.CapacityLease(cold, part, 10_000.0))
-        counts.append(sent_to(drive, cold))
-    equal, none, half, whole = counts
-    assert none == 0 < equal < half < whole and abs(whole - 4 * equal) <= 4 and abs(half - 2 * equal) <= 2
+        if share is not None:
+            drive.tell(i.CapacityLease(cold, share, 10_000.0))
+        counts.append(count_relays_to(drive, cold))
+    equal_share, none, half, full = counts
+    assert (
+        none == 0 < equal_share < half < full
+        and abs(full - 4 * equal_share) <= 4
+        and abs(half - 2 * equal_share) <= 2
+    )
 
 
-def test_past_its_end_a_part_that_was_less_still_bounds_and_one_that_was_more_does_not() -> None:
+def test_after_expiry_a_share_below_the_floor_still_applies_and_one_above_does_not() -> None:
     budgets = []
-    for part in (0.1, 0.9):
+    for share in (0.1, 0.9):
         drive, cold = cold_front()
-        drive.tell(i.CapacityLease(cold, part, 100.0))
+        drive.tell(i.CapacityLease(cold, share, 100.0))
         drive.tell(i.LoopLagged(0.0), after=200.0)
         budgets.append(drive.front.slow_start_budget(drive.front.servers[cold]))
-    equal = budgets[1]
-    assert abs(budgets[0] - 0.4 * equal) < 1e-6
+    equal_share = budgets[1]
+    assert abs(budgets[0] - 0.4 * equal_share) < 1e-6
 
 
-def test_wishes_double_where_sends_were_barred_and_fall_to_what_is_used() -> None:
+def test_demand_doubles_where_sends_were_blocked_and_falls_to_the_share_in_use() -> None:
     drive, cold = cold_front()
-    sent_to(drive, cold)
+    count_relays_to(drive, cold)
     # Barred at an equal part of a quarter.
     assert capacity_demand.slow_start_demands(drive.front, drive.now) == {cold: 0.5}
     drive.tell(i.LoopLagged(0.0), after=1500.0)
@@ -361,23 +375,23 @@
     assert capacity_demand.group_of(drive.front, PARENTS[0], ("a", "b", "c")) == capacity_demand.PARENTS_GROUP
 
 
-def test_groups_are_the_zones_with_fronts_and_the_parents() -> None:
-    told = replace(SETTINGS, fronts=9, fronts_by_zone=(0, 4, 5))
-    found = capacity_demand.sharing_groups(told, ("a", "b", "c"), 500.0, 3000.0, 0.01)
-    assert {name: terms.expected_fronts for name, terms in found.items()} == {"b": 4, "c": 5, "parents": 9}
-    assert all(terms.window == told.overload_window for terms in found.values())
+def test_the_sharing_groups_are_the_zones_with_fronts_and_the_parents() -> None:
+    group_settings = replace(SETTINGS, fronts=9, fronts_by_zone=(0, 4, 5))
+    groups = capacity_demand.sharing_groups(group_settings, ("a", "b", "c"), 500.0, 3000.0, 0.01)
+    assert {name: terms.expected_fronts for name, terms in groups.items()} == {"b": 4, "c": 5, "parents": 9}
+    assert all(terms.window == group_settings.overload_window for terms in groups.values())
 
 
 # What stands on the service
 
 
-def test_asks_and_grants_are_read_as_written_and_anything_else_is_refused() -> None:
-    ask = DemandReport(7, (3, 2), {"x": 0.25, "y": 1.0})
+def test_reports_and_grants_are_decoded_as_encoded_and_anything_else_is_rejected() -> None:
+    report = DemandReport(7, (3, 2), {"x": 0.25, "y": 1.0})
     grant = CapacityGrant(3, 9, 7, {"x": 0.5}, {"x": 0.75})
-    assert decode_report(encode_report(ask)) == ask and decode_grant(encode_grant(grant)) == grant
-    for bad in (b"", b"[]", b"7", b'[1,2,3,{"x":2}]', b'[1,2,3,{"x":"a"}]', b"[1,2,-3,{}]", b"[1,2,true,{}]",
+    assert decode_report(encode_report(report)) == report and decode_grant(encode_grant(grant)) == grant
+    for invalid in (b"", b"[]", b"7", b'[1,2,3,{"x":2}]', b'[1,2,3,{"x":"a"}]', b"[1,2,-3,{}]", b"[1,2,true,{}]",
                 b"[1,2,3,[]]", b'[1,2,3,{"x":NaN}]', b"[" * 100_000, b" " * (2 << 20)):  # fmt: skip
         with pytest.raises((ValueError, RecursionError)):
-            decode_report(bad)
+            decode_report(invalid)
         with pytest.raises((ValueError, RecursionError)):
-            decode_grant(bad)
+            decode_grant(invalid)
