--- a/tests/standins/limits.py
+++ b/tests/standins/limits.py
@@ -1,10 +1,10 @@
-"""A fleet that shares one limit, in virtual time: fronts, coordinators and the service between them.
+"""Simulates in virtual time a fleet that shares one limit: fronts, coordinators and the service between them.
 
-Everything that is sent is late by chance, lost by chance, and overtakes; links are cut for a while, fronts
-and coordinators are paused and killed, clocks run apart within the drift. The service keeps what etcd keeps:
-the newest ask and grant of each front; it writes a grant only under the token of the task's present owner.
-At every step the world adds up what all fronts may use, over the window that the limit counts: what a target
-of their sends would see at most.
+Every message is delayed at random, may be lost, and may overtake others; links are cut for a while, fronts
+and coordinators are paused and killed, clocks drift apart within the terms. The service keeps what etcd
+keeps: the newest report and grant of each front; it writes a grant only under the token of the task's current
+owner. At every step the simulation adds up the shares that all fronts may use, over the window that the limit
+counts: the most that a target of their requests would see.
 """
 
 from collections.abc import Callable
@@ -15,13 +15,13 @@
 
 from cometseam.limits import CapacityGrant, Coordinator, DemandReport, FrontShares, SharingTerms
 
-STEP_MS = 20.0  # ms between two looks at the sum
+STEP_MS = 20.0  # between two measurements of the sum
 LIMIT_NAME = "limit"
 
 
 @dataclass
 class SimulatedFront:
-    """One process: its share, its clock's rate and what it wishes for."""
+    """One front process: its shares, its clock's rate and its demand."""
 
     name: str
     share: FrontShares
@@ -31,7 +31,9 @@
     paused_until: float = 0.0
     alive: bool = True
     ended_at: float = 0.0
-    recent_shares: list[tuple[float, float]] = field(default_factory=list)  # [time, may] over the last window
+    recent_shares: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # (time, share) over the last window
 
     def clock(self, now: float) -> float:
         return 5_000.0 + now * self.clock_rate
@@ -42,25 +44,25 @@
 
 @dataclass
 class SimulatedFleet:
-    """The fleet; `play` lets time pass and returns the highest sum of shares seen."""
+    """The fleet; `play` advances the time and returns the largest sum of shares."""
 
     terms: SharingTerms
     rng: Random
-    mean_delay_ms: float = 30.0  # ms, mean, of everything that is sent
-    loss_rate: float = 0.0  # share of what is sent
+    mean_delay_ms: float = 30.0  # of every message
+    loss_rate: float = 0.0  # fraction of messages
     now: float = 0.0
     fronts: list[SimulatedFront] = field(default_factory=list)
     stored_reports: dict[str, DemandReport] = field(default_factory=dict)
     stored_grants: dict[str, CapacityGrant] = field(default_factory=dict)
     token: int = 0
     coordinator: Coordinator | None = None
-    paused_coordinators: list[tuple[Coordinator, float]] = field(
-        default_factory=list
-    )  # paused, and until when
+    paused_coordinators: list[tuple[Coordinator, float]] = field(default_factory=list)  # and until when
     service_down_until: float = 0.0
     rejected_grants: int = 0  # grants written under an older token
     sums: list[float] = field(default_factory=list)
-    used_sums: list[float] = field(default_factory=list)  # used at each look: the lesser of wish and share
+    used_sums: list[float] = field(
+        default_factory=list
+    )  # at each step: the sum of the smaller of demand and share
     _scheduled: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
     _sequence: "count[int]" = field(default_factory=count)
 
@@ -68,14 +70,14 @@
         heappush(self._scheduled, (when, next(self._sequence), action))
 
     def send(self, front: SimulatedFront | None, action: Callable[[], None]) -> None:
-        """Something goes over a link: late, or lost; nothing passes while a link is cut."""
+        """Deliver a message after a random delay, or lose it; nothing passes while the link is cut."""
         cut = front is not None and self.now < front.cut_until
         if cut or self.now < self.service_down_until or self.rng.random() < self.loss_rate:
             return
         self.schedule(self.now + self.rng.expovariate(1.0 / self.mean_delay_ms), action)
 
     def add(self, demand: Callable[[float], float], name: str = "") -> SimulatedFront:
-        """A process starts; `name`: the front that it is, where it ran before."""
+        """Start a process; `name`: the front's name, where an earlier process of it ran."""
         clock_rate = 1.0 + self.terms.drift * (self.rng.random() - 0.5)
         number = len(self.fronts)
         front = SimulatedFront(
@@ -107,7 +109,7 @@
     def _store_report(self, name: str, report: DemandReport) -> None:
         known = self.stored_reports.get(name)
         if known is not None and known.number > report.number:
-            return  # the service takes a later write of the same front over an earlier: by its one connection
+            return  # a front's writes arrive in order, by its one connection
         self.stored_reports[name] = report
         coordinator = self.coordinator
 
@@ -118,7 +120,7 @@
         self.send(None, deliver)
 
     def elect(self) -> None:
-        """Another coordinator takes over; the one before may still be paused, and wake late."""
+        """Elect another coordinator; the one before may be paused, and resume late."""
         self.token += 1
         self.coordinator = Coordinator(self.terms, self.token)
         for name, grant in self.stored_grants.items():
@@ -128,7 +130,7 @@
         self._issue_grants(self.coordinator)
 
     def pause_coordinator(self, until: float) -> None:
-        """It is paused past its lease: another is elected, and what it wrote late is refused."""
+        """Pause the coordinator beyond its lease: another is elected, and its late grants are rejected."""
         if self.coordinator is not None:
             self.paused_coordinators.append((self.coordinator, until))
             self.coordinator = None
@@ -161,7 +163,7 @@
             front.share.apply_grant(grant, front.clock(self.now))
 
     def play(self, until: float, on_step: Callable[[], None] = lambda: None) -> float:
-        """Let time pass; `each` is called at every look."""
+        """Advance the time; `on_step` is called at every step. Returns the largest sum of shares."""
         max_sum = 0.0
         while self.now < until:
             step_end = min(self.now + STEP_MS, until)
@@ -172,7 +174,7 @@
             for coordinator, resumes_at in list(self.paused_coordinators):
                 if resumes_at <= self.now:
                     self.paused_coordinators.remove((coordinator, resumes_at))
-                    self._write_grants(coordinator)  # it goes on as if nothing had been
+                    self._write_grants(coordinator)  # it continues as if it still were the coordinator
             on_step()
             max_sum = max(max_sum, self._record_sum())
         return max_sum
@@ -192,6 +194,6 @@
         return total
 
     def processes(self) -> int:
-        """How many processes count for the bound now: those alive, and those whose share is not over yet."""
+        """Return how many processes count for the bound: those alive, and those whose shares still count."""
         counted_for_ms = self.terms.front_grant_ttl + self.terms.reduced_period + self.terms.window
         return sum(front.alive or self.now - front.ended_at < counted_for_ms for front in self.fronts)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,8 @@
-"""Limits shared out among fronts: fairness, the front's side, and the sum of all under every fault."""
+"""Limits divided among fronts: fair shares, the front's side, the coordinator, a simulated fleet with faults.
+
+They guard against the fronts using more than the limit together, which happens where a share is granted again
+while another front may still use it: after a pause, a lost message, a restart or a clock jump.
+"""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -59,7 +63,7 @@
     report = share.make_report({"x": 0.9, "y": 0.1}, 100.0)
     assert share.apply_grant(CapacityGrant(7, 1, report.number, {"x": 0.8, "y": 0.05}), 300.0)
     assert (share.current_share("x", 1089.0), share.current_share("y", 1089.0)) == (0.8, 0.05)
-    # 100 + 990: from when it asked.
+    # 100 + 990: counted from when the report was sent.
     assert (share.current_share("x", 1091.0), share.current_share("y", 1091.0)) == (0.25, 0.05)
     assert share.next_change_at("x", 1089.0) == 1090.0 and share.next_change_at("z", 5.0) == 5.0
     assert share.next_change_at("x", 1091.0) == 1090.0 + TERMS.reduced_period and share.limit_names() == [
@@ -74,10 +78,12 @@
     first, second = share.make_report({}, 0.0), share.make_report({}, 200.0)
     assert share.apply_grant(CapacityGrant(7, 5, second.number, {"x": 0.6}), 300.0)
     assert not share.apply_grant(CapacityGrant(7, 4, first.number, {"x": 0.1}), 310.0)
-    # A coordinator that woke late.
+    # From a coordinator that resumed late.
     assert not share.apply_grant(CapacityGrant(6, 90, second.number, {"x": 0.1}), 310.0)
-    assert not share.apply_grant(CapacityGrant(8, 1, first.number, {"x": 0.1}), 995.0)  # its own end is past
-    assert not share.apply_grant(CapacityGrant(8, 1, 77, {"x": 0.1}), 995.0)  # of a time before a restart
+    assert not share.apply_grant(CapacityGrant(8, 1, first.number, {"x": 0.1}), 995.0)  # it has expired
+    assert not share.apply_grant(
+        CapacityGrant(8, 1, 77, {"x": 0.1}), 995.0
+    )  # answers a report from before a restart
     assert share.current_share("x", 995.0) == 0.6 and (share.stale_grants, share.late_grants) == (2, 2)
     assert share.make_report({}, 995.0).applied_grant == (7, 5)
 
@@ -124,7 +130,7 @@
     assert seen[19] == (1.0, 0.0) and seen[39] == (0.0, 1.0)
     moved = next(step for step in range(20, 40) if seen[step][1] > 0.9)
     given = next(step for step in range(20, 40) if seen[step][0] < 0.1)
-    assert 3 <= moved - given <= 4  # the window of 500 ms past the word that it was given back
+    assert 3 <= moved - given <= 4  # the window of 500 ms after the report that it was given up
 
 
 def test_the_floor_is_reserved_for_a_front_that_has_not_reported_and_not_for_an_idle_one() -> None:
@@ -137,7 +143,7 @@
             coordinator.record_report(name, share.make_report({"x": float(name == "a")}, now), now)
         for name, grant in coordinator.allocate(now).items():
             shares[name].apply_grant(grant, now)
-    # Two of four are not heard of: half is kept free.
+    # Two of four fronts have not reported: half of the limit is reserved.
     assert abs(shares["a"].current_share("x", now) - 0.5) < 1e-9
     assert shares["b"].current_share("x", now) < 1e-9
 
@@ -147,9 +153,9 @@
     coordinator = Coordinator(terms, 9)
     coordinator.record_existing_grant("a", CapacityGrant(3, 50, 8, {"x": 0.9}), 0.0)
     coordinator.record_report("b", DemandReport(1, (0, 0), {"x": 1.0}), 10.0)
-    assert coordinator.allocate(20.0)["b"].shares["x"] <= 0.5  # its floor, which is its own anyhow
+    assert coordinator.allocate(20.0)["b"].shares["x"] <= 0.5  # its floor, which needs no grant
     assert coordinator.allocate(1000.0)["b"].shares["x"] <= 0.5
-    for step in range(8):  # once what it found has ended, `a` keeps its floor and no more
+    for step in range(8):  # after the stored grant has expired, `a` keeps its floor and no more
         now = 1020.0 + 200.0 * step
         coordinator.record_report("b", DemandReport(2 + step, (9, 2 + step), {"x": 1.0}), now)
         share = coordinator.allocate(now)["b"].shares["x"]
@@ -171,8 +177,10 @@
     assert shares_of["a.1"].current_share("x", now) > 0.85
     restarted = FrontShares(terms)
     coordinator.record_report("a.2", restarted.make_report({"x": 0.1}, now), now)
-    assert abs(coordinator.committed_share("x", now) - 1.5) < 0.1  # the old one's, the new one's floor, b's
-    # Late word of a process that is no more.
+    assert (
+        abs(coordinator.committed_share("x", now) - 1.5) < 0.1
+    )  # the earlier process's, the new one's floor, b's
+    # A late report of the ended process.
     coordinator.record_report("a.1", DemandReport(99, (3, 99), {"x": 1.0}), now)
     coordinator.allocate(now + 501.0)
     assert (
@@ -225,7 +233,7 @@
 
 
 def inject_fault(fleet: SimulatedFleet, kind: str, rng: Random) -> None:
-    """Do one thing that goes wrong."""
+    """Cause one fault."""
     front = rng.choice(fleet.fronts)
     length = rng.choice((0.3, 1.0, 3.0, 8.0)) * fleet.terms.grant_ttl
     if kind == "cut":
@@ -252,7 +260,7 @@
 def play_with_faults(
     seed: int, length: float = 20_000.0, kinds: tuple[str, ...] = FAULTS
 ) -> tuple[float, SimulatedFleet]:
-    """Play a fleet with changing demand and faults by chance; return by how much it was over the bound."""
+    """Simulate a fleet with changing demand and random faults; return by how much it exceeded the bound."""
     rng = Random(seed)
     count = rng.choice((2, 4, 4, 4, 6))
 
@@ -260,8 +268,10 @@
         period, level = rng.choice((1_000.0, 4_000.0)), rng.random()
         return lambda now: level if int(now / period + number) % 3 else 1.0
 
-    fleet = simulated_fleet(seed, count, [demand(number) for number in range(count)], loss_rate=rng.choice((0.0, 0.1, 0.4)),
-                 mean_delay_ms=rng.choice((5.0, 40.0, 150.0)))  # fmt: skip
+    fleet = simulated_fleet(
+        seed, count, [demand(number) for number in range(count)], loss_rate=rng.choice((0.0, 0.1, 0.4)),
+        mean_delay_ms=rng.choice((5.0, 40.0, 150.0)),
+    )  # fmt: skip
     excess = [0.0]
 
     def on_step() -> None:
@@ -283,7 +293,7 @@
 def test_the_check_fails_for_a_coordinator_that_grants_shares_still_in_use(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without counting what was written before, the sum goes over the limit; the play above would show it."""
+    """Where earlier grants are not counted, the sum exceeds the limit, and the test above would fail."""
     monkeypatch.setattr(Coordinator, "max_share", lambda self, member, name, now: 0.0)
     assert max(play_with_faults(seed)[0] for seed in range(6)) > 0.1
 
@@ -308,11 +318,11 @@
     assert fleet.fronts[0].share.limit_names() == [LIMIT_NAME]
 
 
-# What the module makes of its part, and what it wishes for
+# How the routing module applies its share, and the demand it reports
 
 
 def cold_front(fronts: int = 4) -> tuple[Drive, int]:
-    """A front that is one of four, with one of its caches cold."""
+    """Return a front that is one of four, and one of its caches, which is cold."""
     drive = Drive(replace(SETTINGS, fronts=fronts, fronts_by_zone=(0, fronts, 0)))
     cold = i.CacheEntry(EDGES[0], i.Lifecycle.READY, drive.now, 1, 1, 0, 8.0)
     drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cold,)))
@@ -320,7 +330,7 @@
 
 
 def count_relays_to(drive: Drive, cache: int, pulls: int = 200) -> int:
-    """Pulls of 300 ms each, the workload's mean, within half a second; return how many reached the cache."""
+    """Send pulls of 300 ms each, the workload's mean, within half a second; return how many the cache got."""
     first, count = max(drive.relays, default=0) + 1, 0
     for number in range(first, first + pulls):
         drive.tell(i.Pull(number, number, 0, 0, 2000.0, False, 1500.0, 3), 2.0)
@@ -360,17 +370,17 @@
 def test_demand_doubles_where_sends_were_blocked_and_falls_to_the_share_in_use() -> None:
     drive, cold = cold_front()
     count_relays_to(drive, cold)
-    # Barred at an equal part of a quarter.
+    # Blocked at an equal share of a quarter.
     assert capacity_demand.slow_start_demands(drive.front, drive.now) == {cold: 0.5}
     drive.tell(i.LoopLagged(0.0), after=1500.0)
     used = capacity_demand.slow_start_demands(drive.front, drive.now)[cold]
-    assert 0.25 < used < 0.35  # 1.25 times what it used in the window, room for one more at least
+    assert 0.25 < used < 0.35  # 1.25 times the use in the window, with room for at least one more
     drive.tell(i.LoopLagged(0.0), after=1500.0)
     assert capacity_demand.slow_start_demands(drive.front, drive.now) == {cold: 0.0}
-    # Less than one pull takes lets nothing through.
+    # A share below one pull would let nothing through.
     assert capacity_demand.demanded_share(0.001, 0.0, True, 0.02) == 0.02
     drive.tell(i.LoopLagged(0.0), after=20_000.0)
-    assert capacity_demand.slow_start_demands(drive.front, drive.now) == {}  # it is warm
+    assert capacity_demand.slow_start_demands(drive.front, drive.now) == {}  # the cache is warm
     assert capacity_demand.group_of(drive.front, cold, ("a", "b", "c")) == "b"
     assert capacity_demand.group_of(drive.front, PARENTS[0], ("a", "b", "c")) == capacity_demand.PARENTS_GROUP
 
@@ -382,15 +392,17 @@
     assert all(terms.window == group_settings.overload_window for terms in groups.values())
 
 
-# What stands on the service
+# The values stored on the service
 
 
 def test_reports_and_grants_are_decoded_as_encoded_and_anything_else_is_rejected() -> None:
     report = DemandReport(7, (3, 2), {"x": 0.25, "y": 1.0})
     grant = CapacityGrant(3, 9, 7, {"x": 0.5}, {"x": 0.75})
     assert decode_report(encode_report(report)) == report and decode_grant(encode_grant(grant)) == grant
-    for invalid in (b"", b"[]", b"7", b'[1,2,3,{"x":2}]', b'[1,2,3,{"x":"a"}]', b"[1,2,-3,{}]", b"[1,2,true,{}]",
-                b"[1,2,3,[]]", b'[1,2,3,{"x":NaN}]', b"[" * 100_000, b" " * (2 << 20)):  # fmt: skip
+    for invalid in (
+        b"", b"[]", b"7", b'[1,2,3,{"x":2}]', b'[1,2,3,{"x":"a"}]', b"[1,2,-3,{}]", b"[1,2,true,{}]",
+        b"[1,2,3,[]]", b'[1,2,3,{"x":NaN}]', b"[" * 100_000, b" " * (2 << 20),
+    ):  # fmt: skip
         with pytest.raises((ValueError, RecursionError)):
             decode_report(invalid)
         with pytest.raises((ValueError, RecursionError)):
