--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -257,7 +257,7 @@
         fleet.service_down_until = fleet.now + length
 
 
-def play_with_faults(
+def hurt(
     seed: int, length: float = 20_000.0, kinds: tuple[str, ...] = FAULTS
 ) -> tuple[float, SimulatedFleet]:
     """Simulate a fleet with changing demand and random faults; return by how much it exceeded the bound."""
@@ -286,7 +286,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_the_sum_of_shares_stays_within_the_stated_bound_under_faults(seed: int) -> None:
-    excess, _ = play_with_faults(seed)
+    excess, _ = hurt(seed)
     assert excess <= 1e-9
 
 
@@ -295,7 +295,7 @@
 ) -> None:
     """Where earlier grants are not counted, the sum exceeds the limit, and the test above would fail."""
     monkeypatch.setattr(Coordinator, "max_share", lambda self, member, name, now: 0.0)
-    assert max(play_with_faults(seed)[0] for seed in range(6)) > 0.1
+    assert max(hurt(seed)[0] for seed in range(6)) > 0.1
 
 
 def test_the_service_rejects_grants_of_a_coordinator_that_resumes_late() -> None:
