--- a/tests/standins/etcd.py
+++ b/tests/standins/etcd.py
@@ -27,9 +27,9 @@
 import grpc
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-HISTORY = 10_000  # events kept for watches from an old revision
-TICK = 0.05  # s between looks at leases
-GAP = 0.5  # s: a tick this late means the process was frozen
+MAX_EVENTS = 10_000  # events kept for watches from an old revision
+TICK_S = 0.05  # s between looks at leases
+FREEZE_THRESHOLD_S = 0.5  # s: a tick this late means the process was frozen
 
 
 @dataclass
@@ -90,10 +90,10 @@
                     self.compact(entry["revision"], log=False)
 
     # -- changes
-    def _event(self, event: kv_pb2.Event) -> None:
+    def _publish_event(self, event: kv_pb2.Event) -> None:
         self.events.append(event)
-        if len(self.events) > HISTORY:
-            self.compact(self.events[len(self.events) - HISTORY].kv.mod_revision, log=False)
+        if len(self.events) > MAX_EVENTS:
+            self.compact(self.events[len(self.events) - MAX_EVENTS].kv.mod_revision, log=False)
         for queue in self.watchers:
             queue.put_nowait(event)
 
@@ -101,44 +101,49 @@
         if log:
             self._log({"kind": "put", "key": key.hex(), "value": value.hex(), "lease": lease})
         self.revision += 1
-        before = self.keys.get(key)
-        if before is not None and before.lease and before.lease != lease and before.lease in self.leases:
-            self.leases[before.lease].keys.discard(key)
+        previous = self.keys.get(key)
+        if (
+            previous is not None
+            and previous.lease
+            and previous.lease != lease
+            and previous.lease in self.leases
+        ):
+            self.leases[previous.lease].keys.discard(key)
         kv = kv_pb2.KeyValue(
             key=key,
             value=value,
             lease=lease,
             mod_revision=self.revision,
-            create_revision=before.create_revision if before else self.revision,
-            version=before.version + 1 if before else 1,
+            create_revision=previous.create_revision if previous else self.revision,
+            version=previous.version + 1 if previous else 1,
         )
         self.keys[key] = kv
         if lease:
             self.leases[lease].keys.add(key)
-        self._event(kv_pb2.Event(type=kv_pb2.Event.PUT, kv=kv))
-        return before
+        self._publish_event(kv_pb2.Event(type=kv_pb2.Event.PUT, kv=kv))
+        return previous
 
     def _delete(self, key: bytes, log: bool = True) -> kv_pb2.KeyValue | None:
-        before = self.keys.pop(key, None)
-        if before is None:
+        previous = self.keys.pop(key, None)
+        if previous is None:
             return None
         if log:
             self._log({"kind": "delete", "key": key.hex()})
         self.revision += 1
-        if before.lease in self.leases:
-            self.leases[before.lease].keys.discard(key)
-        self._event(
+        if previous.lease in self.leases:
+            self.leases[previous.lease].keys.discard(key)
+        self._publish_event(
             kv_pb2.Event(type=kv_pb2.Event.DELETE, kv=kv_pb2.KeyValue(key=key, mod_revision=self.revision))
         )
-        return before
+        return previous
 
     def _drop_lease(self, lease: int, log: bool = True) -> None:
-        held = self.leases.pop(lease, None)
-        if held is None:
+        lease_state = self.leases.pop(lease, None)
+        if lease_state is None:
             return
         if log:
             self._log({"kind": "revoke", "id": lease})
-        for key in sorted(held.keys):
+        for key in sorted(lease_state.keys):
             self._delete(key, log=log)
 
     def compact(self, revision: int, log: bool = True) -> None:
@@ -150,14 +155,14 @@
         self.events = [event for event in self.events if event.kv.mod_revision >= revision]
 
     # -- KV
-    def chosen(self, key: bytes, end: bytes) -> list[kv_pb2.KeyValue]:
+    def select(self, key: bytes, end: bytes) -> list[kv_pb2.KeyValue]:
         if not end:
             return [self.keys[key]] if key in self.keys else []
-        every = end == b"\0"
-        return [self.keys[k] for k in sorted(self.keys) if k >= key and (every or k < end)]
+        to_end = end == b"\0"
+        return [self.keys[k] for k in sorted(self.keys) if k >= key and (to_end or k < end)]
 
     def range(self, request: rpc_pb2.RangeRequest) -> rpc_pb2.RangeResponse:
-        kvs = self.chosen(request.key, request.range_end)
+        kvs = self.select(request.key, request.range_end)
         count = len(kvs)
         if request.limit:
             kvs = kvs[: request.limit]
@@ -166,27 +171,27 @@
     def put(self, request: rpc_pb2.PutRequest) -> rpc_pb2.PutResponse:
         if request.lease and request.lease not in self.leases:
             raise KeyError("etcdserver: requested lease not found")
-        before = self._put(request.key, request.value, request.lease)
+        previous = self._put(request.key, request.value, request.lease)
         answer = rpc_pb2.PutResponse(header=self.header())
-        if request.prev_kv and before is not None:
-            answer.prev_kv.CopyFrom(before)
+        if request.prev_kv and previous is not None:
+            answer.prev_kv.CopyFrom(previous)
         return answer
 
     def delete(self, request: rpc_pb2.DeleteRangeRequest) -> rpc_pb2.DeleteRangeResponse:
-        gone = [self._delete(kv.key) for kv in self.chosen(request.key, request.range_end)]
-        kept = [kv for kv in gone if kv is not None]
+        deleted_or_none = [self._delete(kv.key) for kv in self.select(request.key, request.range_end)]
+        deleted_kvs = [kv for kv in deleted_or_none if kv is not None]
         return rpc_pb2.DeleteRangeResponse(
-            header=self.header(), deleted=len(kept), prev_kvs=kept if request.prev_kv else []
+            header=self.header(), deleted=len(deleted_kvs), prev_kvs=deleted_kvs if request.prev_kv else []
         )
 
-    def _holds(self, compare: rpc_pb2.Compare) -> bool:
+    def _compare_holds(self, compare: rpc_pb2.Compare) -> bool:
         kv = self.keys.get(compare.key)
         target = compare.target
         if target == rpc_pb2.Compare.VALUE:
             if kv is None:
                 return False
-            mine: Any = kv.value
-            theirs: Any = compare.value
+            actual: Any = kv.value
+            expected: Any = compare.value
         else:
             name = {
                 rpc_pb2.Compare.VERSION: "version",
@@ -194,19 +199,19 @@
                 rpc_pb2.Compare.MOD: "mod_revision",
                 rpc_pb2.Compare.LEASE: "lease",
             }[target]
-            mine = getattr(kv, name) if kv is not None else 0
-            theirs = getattr(compare, name)
+            actual = getattr(kv, name) if kv is not None else 0
+            expected = getattr(compare, name)
         result = compare.result
         if result == rpc_pb2.Compare.EQUAL:
-            return bool(mine == theirs)
+            return bool(actual == expected)
         if result == rpc_pb2.Compare.NOT_EQUAL:
-            return bool(mine != theirs)
+            return bool(actual != expected)
         if result == rpc_pb2.Compare.GREATER:
-            return bool(mine > theirs)
-        return bool(mine < theirs)
+            return bool(actual > expected)
+        return bool(actual < expected)
 
     def txn(self, request: rpc_pb2.TxnRequest) -> rpc_pb2.TxnResponse:
-        succeeded = all(self._holds(compare) for compare in request.compare)
+        succeeded = all(self._compare_holds(compare) for compare in request.compare)
         answers = []
         for op in request.success if succeeded else request.failure:
             kind = op.WhichOneof("request")
@@ -229,19 +234,19 @@
         self.leases[lease] = Lease(ttl, time.monotonic() + ttl)
         return rpc_pb2.LeaseGrantResponse(header=self.header(), ID=lease, TTL=ttl)
 
-    def keep(self, lease: int) -> rpc_pb2.LeaseKeepAliveResponse:
-        held = self.leases.get(lease)
-        if held is None:
+    def keep_alive(self, lease: int) -> rpc_pb2.LeaseKeepAliveResponse:
+        lease_state = self.leases.get(lease)
+        if lease_state is None:
             return rpc_pb2.LeaseKeepAliveResponse(header=self.header(), ID=lease, TTL=0)
-        held.deadline = time.monotonic() + held.ttl
-        return rpc_pb2.LeaseKeepAliveResponse(header=self.header(), ID=lease, TTL=held.ttl)
+        lease_state.deadline = time.monotonic() + lease_state.ttl
+        return rpc_pb2.LeaseKeepAliveResponse(header=self.header(), ID=lease, TTL=lease_state.ttl)
 
-    def expire(self, now: float, gap: float) -> None:
+    def expire(self, now: float, gap_s: float) -> None:
         """Drop leases past their deadline; after a freeze of `gap` s, first extend every lease by it."""
-        if gap > GAP:
-            for held in self.leases.values():
-                held.deadline += gap
-        for lease in [lease for lease, held in self.leases.items() if held.deadline <= now]:
+        if gap_s > FREEZE_THRESHOLD_S:
+            for lease_state in self.leases.values():
+                lease_state.deadline += gap_s
+        for lease in [lease for lease, lease_state in self.leases.items() if lease_state.deadline <= now]:
             self._drop_lease(lease)
 
 
@@ -288,16 +293,16 @@
     async def LeaseKeepAlive(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:
         async for request in requests:
             if not self.store.lose_keep_alives:
-                yield self.store.keep(request.ID)
+                yield self.store.keep_alive(request.ID)
 
     async def LeaseTimeToLive(self, request: Any, context: grpc.aio.ServicerContext) -> Any:
-        held = self.store.leases.get(request.ID)
-        if held is None:
+        lease_state = self.store.leases.get(request.ID)
+        if lease_state is None:
             return rpc_pb2.LeaseTimeToLiveResponse(header=self.store.header(), ID=request.ID, TTL=-1)
-        left = int(max(held.deadline - time.monotonic(), 0.0))
-        keys = sorted(held.keys) if request.keys else []
+        left = int(max(lease_state.deadline - time.monotonic(), 0.0))
+        keys = sorted(lease_state.keys) if request.keys else []
         return rpc_pb2.LeaseTimeToLiveResponse(
-            header=self.store.header(), ID=request.ID, TTL=left, grantedTTL=held.ttl, keys=keys
+            header=self.store.header(), ID=request.ID, TTL=left, grantedTTL=lease_state.ttl, keys=keys
         )
 
 
@@ -308,21 +313,21 @@
 
     async def Watch(self, requests: AsyncIterator[Any], context: Any) -> AsyncIterator[Any]:
         store = self.store
-        queue: asyncio.Queue[kv_pb2.Event | None] = asyncio.Queue(maxsize=HISTORY)
+        queue: asyncio.Queue[kv_pb2.Event | None] = asyncio.Queue(maxsize=MAX_EVENTS)
         watches: dict[int, tuple[bytes, bytes]] = {}
         answers: asyncio.Queue[rpc_pb2.WatchResponse | None] = asyncio.Queue()
 
-        def fits(event: kv_pb2.Event, key: bytes, end: bytes) -> bool:
-            k = event.kv.key
-            return k == key if not end else (k >= key and (end == b"\0" or k < end))
+        def matches(event: kv_pb2.Event, key: bytes, end: bytes) -> bool:
+            event_key = event.kv.key
+            return event_key == key if not end else (event_key >= key and (end == b"\0" or event_key < end))
 
         async def read() -> None:
             async for request in requests:
                 if request.HasField("create_request"):
-                    made = request.create_request
+                    creation = request.create_request
                     self.ids += 1
                     number = self.ids
-                    if made.start_revision and made.start_revision < store.compacted:
+                    if creation.start_revision and creation.start_revision < store.compacted:
                         await answers.put(
                             rpc_pb2.WatchResponse(
                                 header=store.header(),
@@ -334,19 +339,22 @@
                             )
                         )
                         continue
-                    watches[number] = (made.key, made.range_end)
+                    watches[number] = (creation.key, creation.range_end)
                     await answers.put(
                         rpc_pb2.WatchResponse(header=store.header(), watch_id=number, created=True)
                     )
-                    if made.start_revision:
-                        old = [
+                    if creation.start_revision:
+                        past_events = [
                             e
                             for e in store.events
-                            if e.kv.mod_revision >= made.start_revision and fits(e, made.key, made.range_end)
+                            if e.kv.mod_revision >= creation.start_revision
+                            and matches(e, creation.key, creation.range_end)
                         ]
-                        if old:
+                        if past_events:
                             await answers.put(
-                                rpc_pb2.WatchResponse(header=store.header(), watch_id=number, events=old)
+                                rpc_pb2.WatchResponse(
+                                    header=store.header(), watch_id=number, events=past_events
+                                )
                             )
                 elif request.HasField("cancel_request"):
                     number = request.cancel_request.watch_id
@@ -356,16 +364,16 @@
                     )
             await answers.put(None)
 
-        async def fan() -> None:
+        async def forward_events() -> None:
             while (event := await queue.get()) is not None:
                 for number, (key, end) in list(watches.items()):
-                    if fits(event, key, end):
+                    if matches(event, key, end):
                         await answers.put(
                             rpc_pb2.WatchResponse(header=store.header(), watch_id=number, events=[event])
                         )
 
         store.watchers.add(queue)
-        tasks = [asyncio.ensure_future(read()), asyncio.ensure_future(fan())]
+        tasks = [asyncio.ensure_future(read()), asyncio.ensure_future(forward_events())]
         try:
             while (answer := await answers.get()) is not None:
                 yield answer
@@ -375,17 +383,17 @@
                 task.cancel()
 
 
-async def keep_time(store: Store) -> None:
+async def run_lease_timer(store: Store) -> None:
     """Expire leases; a late tick is a freeze, and leases are extended by it."""
     last = time.monotonic()
     while True:
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(TICK_S)
         now = time.monotonic()
-        store.expire(now, now - last - TICK)
+        store.expire(now, now - last - TICK_S)
         last = now
 
 
-class Count(grpc.aio.ServerInterceptor):  # type: ignore[misc]
+class CallCounter(grpc.aio.ServerInterceptor):  # type: ignore[misc]
     """Counts the calls that reach the member, by method: the load that fronts put on the service."""
 
     def __init__(self) -> None:
@@ -399,22 +407,22 @@
 
 async def serve(port: int, wal: str | None) -> None:
     store = Store(wal)
-    count = Count()
+    count = CallCounter()
     server = grpc.aio.server(interceptors=[count])
     rpc_pb2_grpc.add_KVServicer_to_server(KV(store), server)
     rpc_pb2_grpc.add_LeaseServicer_to_server(Leases(store), server)
     rpc_pb2_grpc.add_WatchServicer_to_server(Watches(store), server)
-    bound = server.add_insecure_port(f"127.0.0.1:{port}")
+    bound_port = server.add_insecure_port(f"127.0.0.1:{port}")
     await server.start()
-    print(f"listening {bound}", flush=True)
+    print(f"listening {bound_port}", flush=True)
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
 
-    def lose() -> None:
+    def toggle_keep_alives() -> None:
         store.lose_keep_alives = not store.lose_keep_alives
 
-    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, lose)
-    timer = asyncio.ensure_future(keep_time(store))
+    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, toggle_keep_alives)
+    timer = asyncio.ensure_future(run_lease_timer(store))
     await stop.wait()
     print("calls " + json.dumps(count.calls, sort_keys=True), flush=True)
     timer.cancel()
@@ -425,8 +433,8 @@
     parser = argparse.ArgumentParser(description="A stand-in for etcd's v3 API on loopback")
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--wal", default=None)
-    words = parser.parse_args()
-    asyncio.run(serve(words.port, words.wal))
+    args = parser.parse_args()
+    asyncio.run(serve(args.port, args.wal))
     return 0
 
 
--- a/tests/standins/faults.py
+++ b/tests/standins/faults.py
@@ -24,11 +24,11 @@
         self.upstream = upstream
         self.port = 0
         self.hold = False  # bytes towards upstream wait here until it is False again; answers pass
-        self.drop_up = False  # bytes towards upstream are thrown away
-        self.drop_down = False  # bytes towards the front are thrown away
-        self.delay = 0.0  # s that each chunk is late, in either direction
+        self.drop_requests = False  # bytes towards upstream are thrown away
+        self.drop_answers = False  # bytes towards the front are thrown away
+        self.delay_s = 0.0  # s that each chunk is late, in either direction
         self.cut = False  # every connection is closed, and new ones are closed at once
-        self.held_up = 0  # bytes waiting now
+        self.held_bytes = 0  # bytes waiting now
         self.released = anyio.Event()
         self._streams: set[SocketStream] = set()
 
@@ -48,20 +48,20 @@
         for stream in list(self._streams):
             await stream.aclose()
 
-    async def _pipe(
-        self, source: SocketStream, sink: SocketStream, dropped: Callable[[], bool], up: bool
+    async def _forward(
+        self, source: SocketStream, sink: SocketStream, is_dropped: Callable[[], bool], is_request: bool
     ) -> None:
         try:
             async for chunk in source:
-                while self.hold and up:
-                    self.held_up += len(chunk)
+                while self.hold and is_request:
+                    self.held_bytes += len(chunk)
                     await self.released.wait()
-                    self.held_up -= len(chunk)
-                if self.delay:
-                    await anyio.sleep(self.delay)
+                    self.held_bytes -= len(chunk)
+                if self.delay_s:
+                    await anyio.sleep(self.delay_s)
                 if self.cut:
                     break
-                if not dropped():
+                if not is_dropped():
                     await sink.send(chunk)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             pass
@@ -73,17 +73,17 @@
             await front.aclose()
             return
         try:
-            far = await anyio.connect_tcp("127.0.0.1", self.upstream)
+            upstream_stream = await anyio.connect_tcp("127.0.0.1", self.upstream)
         except OSError:
             await front.aclose()
             return
-        self._streams.update((front, far))
+        self._streams.update((front, upstream_stream))
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._pipe, front, far, lambda: self.drop_up, True)
-                group.start_soon(self._pipe, far, front, lambda: self.drop_down, False)
+                group.start_soon(self._forward, front, upstream_stream, lambda: self.drop_requests, True)
+                group.start_soon(self._forward, upstream_stream, front, lambda: self.drop_answers, False)
         finally:
-            self._streams.difference_update((front, far))
+            self._streams.difference_update((front, upstream_stream))
 
 
 @dataclass(frozen=True)
@@ -105,7 +105,7 @@
     fence: Fence
     port: int = 0
     history: list[Effect] = field(default_factory=list)
-    seen: anyio.Event = field(default_factory=anyio.Event)
+    updated: anyio.Event = field(default_factory=anyio.Event)
 
     async def start(self, group: TaskGroup) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
@@ -119,19 +119,19 @@
                 buffer += chunk
                 while b"\n" in buffer:
                     line, buffer = buffer.split(b"\n", 1)
-                    words = line.decode().split()
-                    if len(words) != 5 or words[0] != "EFFECT":
+                    fields = line.decode().split()
+                    if len(fields) != 5 or fields[0] != "EFFECT":
                         await stream.send(b"BAD\n")
                         continue
-                    task, token, name, number = words[1], int(words[2]), words[3], int(words[4])
-                    verdict = self.fence.admit(task, token, name)
+                    task, token, name, number = fields[1], int(fields[2]), fields[3], int(fields[4])
+                    decision = self.fence.admit(task, token, name)
                     self.history.append(
-                        Effect(time.monotonic() * 1000.0, task, token, name, number, verdict.passed)
+                        Effect(time.monotonic() * 1000.0, task, token, name, number, decision.passed)
                     )
-                    self.seen.set()
-                    self.seen = anyio.Event()
-                    word = b"OK" if verdict.passed else b"STALE"
-                    await stream.send(word + b" %d\n" % verdict.highest_token)
+                    self.updated.set()
+                    self.updated = anyio.Event()
+                    status = b"OK" if decision.passed else b"STALE"
+                    await stream.send(status + b" %d\n" % decision.highest_token)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             pass
 
@@ -139,7 +139,7 @@
         """Wait until the history passes `test`, at most `within` s (then fail)."""
         with anyio.fail_after(within):
             while not test(self.history):
-                await self.seen.wait()
+                await self.updated.wait()
 
 
 def anomalies(history: list[Effect]) -> list[str]:
@@ -150,22 +150,28 @@
     owner's may. Two owners' effects interleaving (split brain) show here too, as a lower token passing after
     a higher one; so does one token with two names.
     """
-    found = []
+    problems = []
     highest: dict[str, Effect] = {}
     for effect in history:
         if not effect.passed:
             continue
-        top = highest.get(effect.task)
-        if top is not None and effect.token < top.token:
-            found.append(
+        highest_effect = highest.get(effect.task)
+        if highest_effect is not None and effect.token < highest_effect.token:
+            problems.append(
                 f"{effect.task}: {effect.name} token {effect.token} #{effect.number} landed after "
-                f"{top.name} token {top.token}"
+                f"{highest_effect.name} token {highest_effect.token}"
             )
-        if top is not None and effect.token == top.token and effect.name != top.name:
-            found.append(f"{effect.task}: token {effect.token} landed from {top.name} and {effect.name}")
-        if top is None or effect.token >= top.token:
+        if (
+            highest_effect is not None
+            and effect.token == highest_effect.token
+            and effect.name != highest_effect.name
+        ):
+            problems.append(
+                f"{effect.task}: token {effect.token} landed from {highest_effect.name} and {effect.name}"
+            )
+        if highest_effect is None or effect.token >= highest_effect.token:
             highest[effect.task] = effect
-    return found
+    return problems
 
 
 def overlaps(history: list[Effect]) -> list[str]:
@@ -174,15 +180,15 @@
     Where nothing holds effects on the way, each is one that its owner sent while another already acted: two
     fronts acting at once, which the owners' own clocks must prevent (the fence would still refuse them).
     """
-    found = []
+    problems = []
     first: dict[str, Effect] = {}
     for effect in history:
-        top = first.get(effect.task)
-        if top is not None and effect.token < top.token:
-            found.append(
+        highest_effect = first.get(effect.task)
+        if highest_effect is not None and effect.token < highest_effect.token:
+            problems.append(
                 f"{effect.task}: {effect.name} token {effect.token} #{effect.number} sent while "
-                f"{top.name} token {top.token} acted"
+                f"{highest_effect.name} token {highest_effect.token} acted"
             )
-        if effect.passed and (top is None or effect.token > top.token):
+        if effect.passed and (highest_effect is None or effect.token > highest_effect.token):
             first[effect.task] = effect
-    return found
+    return problems
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -28,26 +28,26 @@
     services: dict[str, Proxy]  # each front's link to the coordination service
     etcd: Process
     wal: str
-    said: dict[str, list[str]]  # what each front printed
+    output_lines: dict[str, list[str]]  # what each front printed
     group: TaskGroup = field(init=False)
 
     async def start_front(self, name: str, extra: tuple[str, ...] = ()) -> None:
         """Start a front on its links, or start one that was ended again."""
-        words = {
+        options = {
             "--etcd": f"127.0.0.1:{self.services[name].port}",
             "--target": f"127.0.0.1:{self.links[name].port}",
             "--name": name, "--ttl-ms": str(TTL_MS), "--margin-ms": "250", "--renew-ms": "200",
             "--round-trip-ms": "100",
         }  # fmt: skip
         command = [sys.executable, "-m", "cometseam.coordination.agent"]
-        command += [word for pair in words.items() for word in pair]
+        command += [word for pair in options.items() for word in pair]
         self.fronts[name] = await anyio.open_process(
             [*command, *extra], env={**os.environ, "PYTHONUNBUFFERED": "1"}
         )
         with anyio.fail_after(20):
             await first_line(self.fronts[name], b"ready")
-        self.said.setdefault(name, [])
-        self.group.start_soon(drain, self.fronts[name], self.said[name])
+        self.output_lines.setdefault(name, [])
+        self.group.start_soon(read_output, self.fronts[name], self.output_lines[name])
 
     async def split_service(self, names: list[str]) -> Process:
         """Start a second member from a copy of the log and lead these fronts to it: both think they are it.
@@ -56,12 +56,12 @@
         """
         copy = self.wal + ".split"
         shutil.copyfile(self.wal, copy)
-        other, port = await start_etcd(copy)
+        split_member, port = await start_etcd(copy)
         for name in names:
             self.services[name].upstream = port
             await self.services[name].set_cut()
             self.services[name].cut = False
-        return other
+        return split_member
 
     async def restart_service(self) -> None:
         """Kill the stand-in (SIGKILL), start it again from its log on a new port behind the same proxies."""
@@ -92,13 +92,13 @@
     raise AssertionError(f"no line {prefix!r}")
 
 
-async def drain(process: Process, into: list[str] | None = None) -> None:
+async def read_output(process: Process, lines: list[str] | None = None) -> None:
     """Read what a process prints, keeping it where asked (the states a front went through, for a failure's
     message)."""
     assert process.stdout is not None
     async for chunk in process.stdout:
-        if into is not None:
-            into.extend(chunk.decode().splitlines())
+        if lines is not None:
+            lines.extend(chunk.decode().splitlines())
 
 
 @asynccontextmanager
@@ -141,11 +141,11 @@
 
 
 def newer(token: int) -> Callable[[list[Effect]], bool]:
-    return lambda history: any(e.passed and e.token > token for e in history)
+    return lambda history: any(effect.passed and effect.token > token for effect in history)
 
 
 @dataclass(frozen=True)
-class Late:
+class LateOwnerResult:
     """What came of a late owner: the history's anomalies, its effects that came late, and of them refused."""
 
     anomalies: list[str]
@@ -153,28 +153,40 @@
     refused: int
 
 
-async def late_owner(enforce: bool) -> Late:
+async def late_owner(enforce: bool) -> LateOwnerResult:
     """Pause the owner with its effect in flight past its lease; resume it after a newer owner acted."""
     async with fleet(3, enforce) as here:
         await here.target.wait_for(lambda history: owner_now(history) is not None, 20)
         first = owner_now(here.target.history)
         assert first is not None
-        link = here.links[first.name]
-        link.set_hold(True)
+        target_link = here.links[first.name]
+        target_link.set_hold(True)
         with anyio.move_on_after(5):
-            while link.held_up == 0:  # an effect of the owner is on its way
+            while target_link.held_bytes == 0:  # an effect of the owner is on its way
                 await anyio.sleep(0.005)
-        states = {name: lines[-3:] for name, lines in here.said.items()}
-        assert link.held_up, (first.name, owner_now(here.target.history), states)
+        states = {name: lines[-3:] for name, lines in here.output_lines.items()}
+        assert target_link.held_bytes, (first.name, owner_now(here.target.history), states)
         os.kill(here.fronts[first.name].pid, signal.SIGSTOP)
         await here.target.wait_for(
-            lambda history: any(e.passed and e.token > first.token for e in history), 10 * TTL_MS / 1000
+            lambda history: any(effect.passed and effect.token > first.token for effect in history),
+            10 * TTL_MS / 1000,
         )
         os.kill(here.fronts[first.name].pid, signal.SIGCONT)
         count = len(here.target.history)
-        link.set_hold(False)
+        target_link.set_hold(False)
         await here.target.wait_for(
-            lambda history: any(e.name == first.name and e.token == first.token for e in history[count:]), 5
+            lambda history: any(
+                effect.name == first.name and effect.token == first.token for effect in history[count:]
+            ),
+            5,
+        )
+        late_effects = [
+            effect
+            for effect in here.target.history[count:]
+            if effect.name == first.name and effect.token == first.token
+        ]
+        return LateOwnerResult(
+            anomalies(here.target.history),
+            len(late_effects),
+            sum(not effect.passed for effect in late_effects),
         )
-        tail = [e for e in here.target.history[count:] if e.name == first.name and e.token == first.token]
-        return Late(anomalies(here.target.history), len(tail), sum(not e.passed for e in tail))
--- a/tests/standins/skewed.py
+++ b/tests/standins/skewed.py
@@ -8,10 +8,10 @@
 
 def skew(rate: float) -> None:
     """Have the fleet's part go by a clock that runs `rate` times as fast from now on."""
-    true, began = election.boot_time, election.boot_time()
+    boot_time, started_at = election.boot_time, election.boot_time()
 
     def skewed() -> float:
-        return began + rate * (true() - began)
+        return started_at + rate * (boot_time() - started_at)
 
     fleet_member.boot_time = election.boot_time = skewed
 
--- a/tests/test_ownership_faults.py
+++ b/tests/test_ownership_faults.py
@@ -31,7 +31,7 @@
     try:
         await here.target.wait_for(newer(token), within)
     except TimeoutError:
-        raise AssertionError(here.said) from None
+        raise AssertionError(here.output_lines) from None
     await anyio.sleep(0.5)
     assert anomalies(here.target.history) == []
 
@@ -39,7 +39,7 @@
 async def test_if_requests_to_the_service_are_lost_another_front_takes_the_task() -> None:
     async with fleet(3) as here:
         first = await first_owner(here)
-        here.services[first.name].drop_up = True
+        here.services[first.name].drop_requests = True
         await wait_for_new_owner(here, first.token, 3 * TTL_S)
         assert overlaps(here.target.history) == []
 
@@ -47,7 +47,7 @@
 async def test_if_a_link_is_delayed_beyond_the_lease_another_front_takes_the_task() -> None:
     async with fleet(3) as here:
         first = await first_owner(here)
-        here.services[first.name].delay = 1.5 * TTL_S
+        here.services[first.name].delay_s = 1.5 * TTL_S
         await wait_for_new_owner(here, first.token, 6 * TTL_S)
         assert overlaps(here.target.history) == []
 
@@ -73,7 +73,7 @@
         await wait_for_new_owner(here, first.token, 4 * TTL_S)
         assert overlaps(here.target.history) == []
         reason = "clock went back" if back else "renewal overdue"
-        assert any(reason in line for line in here.said[first.name]), here.said
+        assert any(reason in line for line in here.output_lines[first.name]), here.output_lines
 
 
 async def test_a_clock_jump_on_a_working_link_stops_the_owner_only_until_its_next_renewal() -> None:
@@ -84,7 +84,7 @@
         event_count = len(here.target.history)
         await here.target.wait_for(lambda history: len(history) > event_count + 20, 5)
         assert {(effect.name, effect.token) for effect in here.target.history} == {(first.name, first.token)}
-        assert any("why=renewed" in line for line in here.said[first.name])
+        assert any("why=renewed" in line for line in here.output_lines[first.name])
 
 
 async def test_with_a_split_service_the_fence_admits_one_owner_per_token() -> None:
--- a/tests/test_ownership_fleet.py
+++ b/tests/test_ownership_fleet.py
@@ -63,7 +63,7 @@
     """Requests pass, answers are lost: the service keeps the lease valid while its owner may not act."""
     async with fleet(3) as here:
         first = await first_owner(here)
-        here.services[first.name].drop_down = True
+        here.services[first.name].drop_answers = True
         lost_at = anyio.current_time()
         bound_s = (TTL_MS * 0.99 - 250 + 2 * TTL_MS + 2 * 200) / 1000  # acting + two leases + two renewals
         await here.target.wait_for(newer(first.token), bound_s + 2.0)
@@ -82,11 +82,11 @@
         try:
             await here.target.wait_for(lambda history: len(history) > event_count + 20, 10)
         except TimeoutError:
-            raise AssertionError(here.said) from None
+            raise AssertionError(here.output_lines) from None
         assert {effect.token for effect in here.target.history[event_count:]} == {
             first.token
         }  # the same owner, renewed
-        assert any("losing" in line for line in here.said[first.name])  # it did stop while frozen
+        assert any("losing" in line for line in here.output_lines[first.name])  # it did stop while frozen
         assert overlaps(here.target.history) == []
 
 
