--- a/tests/standins/etcd.py
+++ b/tests/standins/etcd.py
@@ -1,13 +1,14 @@
-"""A stand-in for etcd's v3 API, written from its published documents, served with the client library's own
-servicers.
+"""A stand-in for etcd's v3 API, written from its published documentation, served with the client library's
+own servicers.
 
 KV (Range, Put, DeleteRange, Txn, Compact), Lease (Grant, Revoke, KeepAlive, TimeToLive) and Watch, over gRPC
-on loopback, one member. What it keeps: keys with create, mod revisions and versions; leases with their keys;
-the events since the last compaction (a bounded list: `HISTORY` entries at most, the oldest compacted first).
-Faults it can be told by its owner (a test): a pause of the process (SIGSTOP) is a frozen leader, and on the
-first tick after, every lease is extended by the gap, as etcd's new leader renews leases to their full TTL;
-`--wal FILE` writes every change before answering and fsyncs it, and a restart replays it (leases get their
-full TTL back, as etcd does on recovery); SIGUSR1 begins and ends losing keep-alives (they do nothing).
+on loopback, one member. Its state: keys with create and mod revisions and versions; leases with their keys;
+the events since the last compaction (a bounded list of at most `MAX_EVENTS`, the oldest compacted first).
+Faults that a test can cause: a pause of the process (SIGSTOP) acts as a frozen leader, and on the first tick
+after it every lease is extended by the gap, as etcd's new leader renews leases to their full TTL; with
+`--wal FILE` it writes and fsyncs every change before answering, and a restart replays the file (leases get
+their full TTL back, as in etcd's recovery); SIGUSR1 turns the loss of keep-alives on and off (they are
+ignored).
 
     python -m tests.standins.etcd --port 0 --wal FILE     # prints "listening PORT", serves until SIGTERM,
                                                           # then prints "calls {method: count}"
@@ -27,9 +28,9 @@
 import grpc
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-MAX_EVENTS = 10_000  # events kept for watches from an old revision
-TICK_S = 0.05  # s between looks at leases
-FREEZE_THRESHOLD_S = 0.5  # s: a tick this late means the process was frozen
+MAX_EVENTS = 10_000  # kept for watches that start from an old revision
+TICK_S = 0.05  # between two checks of the leases
+FREEZE_THRESHOLD_S = 0.5  # a tick this late means that the process was frozen
 
 
 @dataclass
@@ -40,7 +41,7 @@
 
 
 class Store:
-    """The state of one member: revisions, keys, leases, events; every change goes through `_apply`."""
+    """The state of one member: revisions, keys, leases, events."""
 
     def __init__(self, wal: str | None = None) -> None:
         self.revision = 1
@@ -60,7 +61,7 @@
     def header(self) -> rpc_pb2.ResponseHeader:
         return rpc_pb2.ResponseHeader(cluster_id=1, member_id=1, revision=self.revision, raft_term=1)
 
-    # -- the log of changes: written and fsynced before a change is answered
+    # -- the write-ahead log: written and fsynced before a change is answered
     def _log(self, entry: dict[str, Any]) -> None:
         if self.wal is not None:
             self.wal.write(json.dumps(entry) + "\n")
@@ -73,7 +74,7 @@
                 try:
                     entry = json.loads(line)
                 except json.JSONDecodeError:
-                    break  # a torn last line: what was not written whole was never answered
+                    break  # a torn last line: an incomplete entry was never answered
                 kind = entry["kind"]
                 if kind == "grant":
                     self.leases[entry["id"]] = Lease(entry["ttl"], time.monotonic() + entry["ttl"])
@@ -384,7 +385,7 @@
 
 
 async def run_lease_timer(store: Store) -> None:
-    """Expire leases; a late tick is a freeze, and leases are extended by it."""
+    """Expire leases at every tick; a late tick means a freeze, by which leases are extended."""
     last = time.monotonic()
     while True:
         await asyncio.sleep(TICK_S)
@@ -394,7 +395,7 @@
 
 
 class CallCounter(grpc.aio.ServerInterceptor):  # type: ignore[misc]
-    """Counts the calls that reach the member, by method: the load that fronts put on the service."""
+    """Counts the calls that reach the member, by method: the load of the fronts on the service."""
 
     def __init__(self) -> None:
         self.calls: dict[str, int] = {}
--- a/tests/standins/faults.py
+++ b/tests/standins/faults.py
@@ -1,10 +1,9 @@
-"""A fault proxy on loopback, and a target that fences what owners send it: the tools of the multi-process
-tests.
+"""A fault proxy on loopback, and a target that fences the effects of owners, for the multi-process tests.
 
-`Proxy` forwards TCP between a front and what it talks to, and can be told to hold bytes (delay without bound,
-then let them go in order), to drop one direction, or to cut every connection and refuse new ones. `Target`
-takes effects (`EFFECT task token name number`), judges each by a `Fence`, and records every one with its
-verdict: the history a test checks whole at the end.
+`Proxy` forwards TCP between a front and its peer, and can hold bytes (delay them without bound, then release
+them in order), drop one direction, or cut every connection and refuse new ones. `Target` receives effects
+(`EFFECT task token name number`), decides on each by a `Fence`, and records it with the decision: tests check
+the whole history at the end.
 """
 
 import time
@@ -18,17 +17,17 @@
 
 
 class Proxy:
-    """Forward `127.0.0.1:port` to `upstream`; faults by the flags below, changed at any time by the test."""
+    """Forwards `127.0.0.1:port` to `upstream`; a test may change the fault settings below at any time."""
 
     def __init__(self, upstream: int) -> None:
         self.upstream = upstream
         self.port = 0
-        self.hold = False  # bytes towards upstream wait here until it is False again; answers pass
-        self.drop_requests = False  # bytes towards upstream are thrown away
-        self.drop_answers = False  # bytes towards the front are thrown away
-        self.delay_s = 0.0  # s that each chunk is late, in either direction
-        self.cut = False  # every connection is closed, and new ones are closed at once
-        self.held_bytes = 0  # bytes waiting now
+        self.hold = False  # bytes to upstream wait until it is False again; answers pass
+        self.drop_requests = False  # bytes to upstream are discarded
+        self.drop_answers = False  # bytes to the front are discarded
+        self.delay_s = 0.0  # of each chunk, in either direction
+        self.cut = False  # closes every connection, and new ones at once
+        self.held_bytes = 0  # waiting now
         self.released = anyio.Event()
         self._streams: set[SocketStream] = set()
 
@@ -88,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Effect:
-    """One effect as the target saw it: when (monotonic ms), what, and whether the fence let it through."""
+    """One effect as the target received it: time (monotonic ms), contents, whether the fence admitted it."""
 
     at: float
     task: str
@@ -100,7 +99,7 @@
 
 @dataclass
 class Target:
-    """Takes effects on loopback and fences them; `history` is every effect, in the order they came."""
+    """Receives effects on loopback and fences them; `history` has every effect in order of arrival."""
 
     fence: Fence
     port: int = 0
@@ -136,19 +135,18 @@
             pass
 
     async def wait_for(self, test: Callable[[list[Effect]], bool], within: float) -> None:
-        """Wait until the history passes `test`, at most `within` s (then fail)."""
+        """Wait until `test` is true for the history; raise TimeoutError after `within` s."""
         with anyio.fail_after(within):
             while not test(self.history):
                 await self.updated.wait()
 
 
 def anomalies(history: list[Effect]) -> list[str]:
-    """Read a whole history: every effect let through after one of a higher token of the same task is an
-    anomaly.
+    """Return the anomalies of a whole history: effects admitted after one of a higher token of the same task.
 
-    It is what one owner at a time means at the target: once a newer owner's effect has landed, no older
-    owner's may. Two owners' effects interleaving (split brain) show here too, as a lower token passing after
-    a higher one; so does one token with two names.
+    One owner at a time means at the target that once a newer owner's effect was admitted, no older owner's
+    may be. Interleaved effects of two owners (split brain) show too, as a lower token admitted after a higher
+    one; so does one token with two names.
     """
     problems = []
     highest: dict[str, Effect] = {}
@@ -175,10 +173,10 @@
 
 
 def overlaps(history: list[Effect]) -> list[str]:
-    """Effects sent by an older owner that arrived after a newer owner's first, let through or not.
+    """Return the effects of an older owner that arrived after a newer owner's first, admitted or not.
 
-    Where nothing holds effects on the way, each is one that its owner sent while another already acted: two
-    fronts acting at once, which the owners' own clocks must prevent (the fence would still refuse them).
+    Where nothing delays effects on the way, each was sent while another owner already acted: two fronts
+    acting at once, which the owners' own clocks must prevent (the fence would still reject them).
     """
     problems = []
     first: dict[str, Effect] = {}
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -1,5 +1,5 @@
-"""Several processes on loopback for the ownership tests and measurements: the etcd stand-in, fronts holding
-one task (`cometseam.coordination.agent`), a fenced target, and our proxy on each front's two links.
+"""Several processes on loopback for the ownership tests and measurements: the etcd stand-in, fronts with one
+task (`cometseam.coordination.agent`), a fenced target, and a fault proxy on each front's two links.
 """
 
 import os
@@ -28,11 +28,11 @@
     services: dict[str, Proxy]  # each front's link to the coordination service
     etcd: Process
     wal: str
-    output_lines: dict[str, list[str]]  # what each front printed
+    output_lines: dict[str, list[str]]  # each front's output
     group: TaskGroup = field(init=False)
 
     async def start_front(self, name: str, extra: tuple[str, ...] = ()) -> None:
-        """Start a front on its links, or start one that was ended again."""
+        """Start a front on its links, or restart one that has ended."""
         options = {
             "--etcd": f"127.0.0.1:{self.services[name].port}",
             "--target": f"127.0.0.1:{self.links[name].port}",
@@ -50,9 +50,9 @@
         self.group.start_soon(read_output, self.fronts[name], self.output_lines[name])
 
     async def split_service(self, names: list[str]) -> Process:
-        """Start a second member from a copy of the log and lead these fronts to it: both think they are it.
+        """Start a second member from a copy of the log and redirect these fronts to it (a split service).
 
-        The caller ends it.
+        The caller ends the member that is returned.
         """
         copy = self.wal + ".split"
         shutil.copyfile(self.wal, copy)
@@ -64,7 +64,7 @@
         return split_member
 
     async def restart_service(self) -> None:
-        """Kill the stand-in (SIGKILL), start it again from its log on a new port behind the same proxies."""
+        """Kill the stand-in (SIGKILL) and restart it from its log on a new port behind the same proxies."""
         self.etcd.kill()
         await self.etcd.wait()
         self.etcd, port = await start_etcd(self.wal)
@@ -93,8 +93,7 @@
 
 
 async def read_output(process: Process, lines: list[str] | None = None) -> None:
-    """Read what a process prints, keeping it where asked (the states a front went through, for a failure's
-    message)."""
+    """Read a process's output; `lines` collects it (a front's changes of state, for failure messages)."""
     assert process.stdout is not None
     async for chunk in process.stdout:
         if lines is not None:
@@ -146,7 +145,7 @@
 
 @dataclass(frozen=True)
 class LateOwnerResult:
-    """What came of a late owner: the history's anomalies, its effects that came late, and of them refused."""
+    """The history's anomalies, how many effects of a late owner arrived, and how many were rejected."""
 
     anomalies: list[str]
     arrived: int
@@ -154,7 +153,7 @@
 
 
 async def late_owner(enforce: bool) -> LateOwnerResult:
-    """Pause the owner with its effect in flight past its lease; resume it after a newer owner acted."""
+    """Pause the owner beyond its lease with its effect in flight; resume it after a newer owner acted."""
     async with fleet(3, enforce) as here:
         await here.target.wait_for(lambda history: owner_now(history) is not None, 20)
         first = owner_now(here.target.history)
@@ -162,7 +161,7 @@
         target_link = here.links[first.name]
         target_link.set_hold(True)
         with anyio.move_on_after(5):
-            while target_link.held_bytes == 0:  # an effect of the owner is on its way
+            while target_link.held_bytes == 0:  # until an effect of the owner is in flight
                 await anyio.sleep(0.005)
         states = {name: lines[-3:] for name, lines in here.output_lines.items()}
         assert target_link.held_bytes, (first.name, owner_now(here.target.history), states)
--- a/tests/standins/skewed.py
+++ b/tests/standins/skewed.py
@@ -1,4 +1,4 @@
-"""A front whose clock of leases and grants runs at another rate: `python -m tests.standins.skewed RATE`."""
+"""Runs a front whose clock of leases and grants has another rate: `python -m tests.standins.skewed RATE`."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def skew(rate: float) -> None:
-    """Have the fleet's part go by a clock that runs `rate` times as fast from now on."""
+    """Replace the clock of the fleet's modules by one that runs `rate` times as fast from now on."""
     boot_time, started_at = election.boot_time, election.boot_time()
 
     def skewed() -> float:
