--- a/tests/standins/etcd.py
+++ b/tests/standins/etcd.py
@@ -322,7 +322,7 @@
             event_key = event.kv.key
             return event_key == key if not end else (event_key >= key and (end == b"\0" or event_key < end))
 
-        async def read() -> None:
+        async def handle_requests() -> None:
             async for request in requests:
                 if request.HasField("create_request"):
                     creation = request.create_request
@@ -374,7 +374,7 @@
                         )
 
         store.watchers.add(queue)
-        tasks = [asyncio.ensure_future(read()), asyncio.ensure_future(forward_events())]
+        tasks = [asyncio.ensure_future(handle_requests()), asyncio.ensure_future(forward_events())]
         try:
             while (answer := await answers.get()) is not None:
                 yield answer
@@ -386,12 +386,12 @@
 
 async def run_lease_timer(store: Store) -> None:
     """Expire leases at every tick; a late tick means a freeze, by which leases are extended."""
-    last = time.monotonic()
+    last_tick = time.monotonic()
     while True:
         await asyncio.sleep(TICK_S)
         now = time.monotonic()
-        store.expire(now, now - last - TICK_S)
-        last = now
+        store.expire(now, now - last_tick - TICK_S)
+        last_tick = now
 
 
 class CallCounter(grpc.aio.ServerInterceptor):  # type: ignore[misc]
@@ -408,8 +408,8 @@
 
 async def serve(port: int, wal: str | None) -> None:
     store = Store(wal)
-    count = CallCounter()
-    server = grpc.aio.server(interceptors=[count])
+    call_counter = CallCounter()
+    server = grpc.aio.server(interceptors=[call_counter])
     rpc_pb2_grpc.add_KVServicer_to_server(KV(store), server)
     rpc_pb2_grpc.add_LeaseServicer_to_server(Leases(store), server)
     rpc_pb2_grpc.add_WatchServicer_to_server(Watches(store), server)
@@ -425,7 +425,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, toggle_keep_alives)
     timer = asyncio.ensure_future(run_lease_timer(store))
     await stop.wait()
-    print("calls " + json.dumps(count.calls, sort_keys=True), flush=True)
+    print("calls " + json.dumps(call_counter.calls, sort_keys=True), flush=True)
     timer.cancel()
     await server.stop(0.2)
 
--- a/tests/standins/fronts.py
+++ b/tests/standins/fronts.py
@@ -21,29 +21,29 @@
 from tests.standins.faults import Proxy
 from tests.standins.fleet import start_etcd
 
-FILE = """{ version: 1, fleet: { service: '127.0.0.1:%d', round_trip: '100ms', refresh: '400ms',
+OPERATOR_FILE = """{ version: 1, fleet: { service: '127.0.0.1:%d', round_trip: '100ms', refresh: '400ms',
   tasks: { probe: { ttl: '1s', margin: '250ms', renew: '200ms' },
            list: { ttl: '1s', margin: '250ms', renew: '200ms' } }, log: { bound: '2500ms' },
   probing: { interval: '100ms', within: '60ms', fails: 2, passes: 2, lasts: '%dms' } } }"""
-LIMITS = """limits: { refresh: '200ms', lasts: '1s'%s },
+LIMITS_SECTION = """limits: { refresh: '200ms', lasts: '1s'%s },
   tasks+: { limits: { ttl: '1s', margin: '250ms', renew: '200ms' } }"""
-BUDGET = """ + { default: { relays: 3, until: 'cut-off' }, largest: { maps: '2MB', grids: '2MB' },
+BUDGET_SECTION = """ + { default: { relays: 3, until: 'cut-off' }, largest: { maps: '2MB', grids: '2MB' },
   front: { budget: { share: 1, floor: 1000, window: '1s', fleet: %d } } }"""
-STATE = rb"fleet: %s: (\w+), token (\d+): "
-WINDOW = 3.0  # s over which what a cold cache gets counts: the sample's overloadFor
+STATE_PATTERN = rb"fleet: %s: (\w+), token (\d+): "
+WINDOW_S = 3.0  # s over which what a cold cache gets counts: the sample's overloadFor
 COPY = "tag=4be0c1927d55a6f3,minted=1,why=cached"
 
 
-def well(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
+def answer_at_once(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
     return 0.002, "DONE", f"{COPY},rep=util:0.5;x1:0.5", b"x"
 
 
-def cold_limit(age: float) -> float:
+def cold_limit(age_s: float) -> float:
     """How many relays of 250 ms a cold cache of the sample bears in a window at an age (s); 0: it is warm."""
-    if age >= 14.0:
+    if age_s >= 14.0:
         return 0.0
-    share = 0.2 + 0.8 * max(age - WINDOW, 0.0) / 14.0
-    return 0.75 * 2.5 * share * 8.0 * WINDOW * 1000.0 / 250.0
+    share = 0.2 + 0.8 * max(age_s - WINDOW_S, 0.0) / 14.0
+    return 0.75 * 2.5 * share * 8.0 * WINDOW_S * 1000.0 / 250.0
 
 
 def over_limit(here: "Fronts") -> float:
@@ -63,122 +63,124 @@
     links: list[Proxy] = field(default_factory=list)
     stack: AsyncExitStack = field(default_factory=AsyncExitStack)
     folders: list[Path] = field(default_factory=list)
-    more: list[Process] = field(default_factory=list)  # further members that a test started
+    extra_members: list[Process] = field(default_factory=list)  # further members that a test started
     cold_at: float = 0.0  # s, monotonic: when cache-2 started anew
 
     def used(self) -> list[tuple[float, float]]:
         """At each relay to cache-2 since it is cold: s since then, relays in the last window by the limit."""
         times = sorted(at for relays in self.caches.relays.values() for at, cache in relays if cache == 1)
         times = [at - self.cold_at for at in times if at >= self.cold_at]
-        found = []
-        for place, at in enumerate(times):
+        used_shares = []
+        for index, at in enumerate(times):
             limit = cold_limit(at)
             if limit:
-                inside = sum(at - WINDOW < earlier for earlier in times[: place + 1])
-                found.append((at, inside / limit))
-        return found
+                in_window = sum(at - WINDOW_S < earlier for earlier in times[: index + 1])
+                used_shares.append((at, in_window / limit))
+        return used_shares
 
-    async def split_service(self, places: list[int]) -> None:
+    async def split_service(self, indices: list[int]) -> None:
         """Start a second member from a copy of the log and lead these fronts to it: each thinks it is it."""
         copy = self.wal + ".split"
         shutil.copyfile(self.wal, copy)
-        other, port = await start_etcd(copy)
-        self.more.append(other)
-        for place in places:
-            self.links[place].upstream = port
-            await self.links[place].set_cut()
-            self.links[place].cut = False
-
-    async def restart(self, places: list[int]) -> None:
+        member, port = await start_etcd(copy)
+        self.extra_members.append(member)
+        for index in indices:
+            self.links[index].upstream = port
+            await self.links[index].set_cut()
+            self.links[index].cut = False
+
+    async def restart(self, indices: list[int]) -> None:
         """Kill fronts at once and start them again, each with what it is configured with."""
-        for place in places:
-            self.worlds[place].process.kill()
-        for place in places:
-            await self.worlds[place].process.wait()
-            self.worlds[place].output = b""
-            await self.worlds[place].start(self.folders[place])
+        for index in indices:
+            self.worlds[index].process.kill()
+        for index in indices:
+            await self.worlds[index].process.wait()
+            self.worlds[index].output = b""
+            await self.worlds[index].start(self.folders[index])
 
     def owner(self, task: str) -> int | None:
         """The place of the front that holds a task by its own log; None where none does."""
-        holds = []
-        for place, here in enumerate(self.worlds):
-            states = re.findall(STATE % task.encode(), here.output)
+        owners = []
+        for index, here in enumerate(self.worlds):
+            states = re.findall(STATE_PATTERN % task.encode(), here.output)
             if states and states[-1][0] == b"owner" and here.process.returncode is None:
-                holds.append((int(states[-1][1]), place))
-        return max(holds)[1] if holds else None
+                owners.append((int(states[-1][1]), index))
+        return max(owners)[1] if owners else None
 
-    async def probing(self, other: int | None = None, task: str = "probe") -> int:
+    async def probing(self, excluded: int | None = None, task: str = "probe") -> int:
         """Wait until a front holds a task, one that is not `other`."""
         with anyio.fail_after(15):
-            while (place := self.owner(task)) is None or place == other:
+            while (index := self.owner(task)) is None or index == excluded:
                 await anyio.sleep(0.02)
-        return place
+        return index
 
 
-def _command(rate: float) -> list[str]:
+def _skewed_command(rate: float) -> list[str]:
     return [sys.executable, "-m", "tests.standins.skewed", str(rate)]
 
 
 @asynccontextmanager
 async def fronts(
     count: int, names: tuple[str, ...], lasts_ms: int = 2000, limits: bool = False, expected: int = 1,
-    relays: int = 0, budget: int = 0, behave: Behave = well, rates: tuple[float, ...] = (),
+    relays: int = 0, budget: int = 0, behave: Behave = answer_at_once, rates: tuple[float, ...] = (),
 ) -> AsyncIterator[Fronts]:  # fmt: skip
     """`count` fronts on the same caches, `cache-1` and `names`; each is told of `expected` fronts.
 
     `relays`: how many the fleet may have out at one cache; `budget`: further relays of the fleet in a second;
     0: any. `rates`: how fast the clocks of leases run, by front.
     """
-    plan = BUDGET % budget if budget else ""
+    budget_section = BUDGET_SECTION % budget if budget else ""
     cap = f", relays: {{ caches: {relays} }}" if relays else ""
 
     def prepare(front: World) -> None:
-        told = front.config["settings"]
-        told["balancers"], told["familyInfo"]["instancesByZone"] = expected, [0, 0, expected]
-        for grade in told["grades"] if relays else ():
+        settings = front.config["settings"]
+        settings["balancers"], settings["familyInfo"]["instancesByZone"] = expected, [0, 0, expected]
+        for grade in settings["grades"] if relays else ():
             grade["hardLimit"] = 2500.0  # for so long a part that was given up weighs
 
     with tempfile.TemporaryDirectory() as folder, Caches(1 + len(names), behave) as caches:
         wal = str(Path(folder) / "etcd.wal")
         etcd, port = await start_etcd(wal)
         here = Fronts(caches, etcd, port, wal)
-        at = dict(zip(("cache-1", *names), caches.addresses, strict=True))
+        addresses = dict(zip(("cache-1", *names), caches.addresses, strict=True))
         try:
             async with anyio.create_task_group() as group, here.stack:
                 for number in range(count):
                     link = Proxy(port)
                     await link.start(group)
                     here.links.append(link)
-                    place = Path(folder) / f"front-{number}"
-                    place.mkdir()
-                    file = place / "operator.jsonnet"
-                    file.write_text(FILE % (link.port, lasts_ms))
+                    front_folder = Path(folder) / f"front-{number}"
+                    front_folder.mkdir()
+                    operator_file = front_folder / "operator.jsonnet"
+                    operator_file.write_text(OPERATOR_FILE % (link.port, lasts_ms))
                     if limits:
-                        more = file.with_name("limits.jsonnet")
-                        shared = "{ fleet+: { " + LIMITS % cap + " } }"
-                        more.write_text(f"(import 'operator.jsonnet') + {shared}{plan}")
-                        file = more
+                        limits_file = operator_file.with_name("limits.jsonnet")
+                        limits_section = "{ fleet+: { " + LIMITS_SECTION % cap + " } }"
+                        limits_file.write_text(
+                            f"(import 'operator.jsonnet') + {limits_section}{budget_section}"
+                        )
+                        operator_file = limits_file
                     front = await here.stack.enter_async_context(
                         world(
-                            place,
+                            front_folder,
                             *names,
-                            operator=file,
-                            at=at,
+                            operator=operator_file,
+                            at=addresses,
                             patience=90.0,
                             name=f"front-{number}",
                             prepare=prepare,
-                            command=_command(rates[number]) if rates else None,
+                            command=_skewed_command(rates[number]) if rates else None,
                         )
                     )
                     for cache in front.caches.values():  # the parent and the origin of its own
                         cache.alive = True
                     here.worlds.append(front)
-                    here.folders.append(place)
+                    here.folders.append(front_folder)
                 yield here
                 await here.stack.aclose()
                 group.cancel_scope.cancel()
         finally:
-            for process in [*(front.process for front in here.worlds), here.etcd, *here.more]:
+            for process in [*(front.process for front in here.worlds), here.etcd, *here.extra_members]:
                 if process.returncode is None:
                     os.kill(process.pid, signal.SIGCONT)
                     process.kill()
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -16,7 +16,7 @@
 
 pytestmark = pytest.mark.anyio
 NAMES = ("cache-2", "cache-3")
-BAD, GOOD = b"cache-2 is ruled bad", b"cache-2 is ruled good"
+BAD_LOGGED, GOOD_LOGGED = b"cache-2 is ruled bad", b"cache-2 is ruled good"
 
 
 @pytest.fixture
@@ -24,97 +24,97 @@
     return "asyncio"
 
 
-async def pulls(here: Fronts, place: int, count: int, first: int) -> int:
+async def count_served(here: Fronts, index: int, count: int, first: int) -> int:
     """Send pulls for different objects through one front, one at a time; return how many were served."""
-    caller, served = await here.worlds[place].call(), 0
+    client, served = await here.worlds[index].call(), 0
     for number in range(first, first + count):
         item = f"{number * 2654435761 % (1 << 64):016x}"
-        await caller.send(order(number, txn=f"{number:016x}", item=item, ram="40"))
-        served += (await caller.next()).code == 1
-    await caller.stream.aclose()
+        await client.send(order(number, txn=f"{number:016x}", item=item, ram="40"))
+        served += (await client.next()).code == 1
+    await client.stream.aclose()
     return served
 
 
-async def hears(here: Fronts, place: int, bad: bool) -> None:
+async def wait_for_verdict(here: Fronts, index: int, bad: bool) -> None:
     """Wait until a front goes by the verdict on cache-2, as its pulls show."""
-    first = 1 + place * 100_000 + here.caches.asked.total()
+    first = 1 + index * 100_000 + here.caches.asked.total()
     with anyio.fail_after(10):
         while True:
             before = here.caches.asked[1]
             first += 30
-            served = await pulls(here, place, 30, first)
+            served = await count_served(here, index, 30, first)
             if served == 30 and (here.caches.asked[1] == before) is bad:
                 return
 
 
-async def test_one_front_probes_for_all_and_each_spares_what_it_rules_bad() -> None:
+async def test_one_front_probes_for_all_and_each_avoids_the_cache_with_a_bad_verdict() -> None:
     async with fronts(3, NAMES) as here:
         prober = await here.probing()
-        others = [place for place in range(3) if place != prober]
+        others = [index for index in range(3) if index != prober]
         here.caches.silent.add(1)
-        await here.worlds[prober].logged(BAD)
-        await hears(here, others[0], True)
+        await here.worlds[prober].logged(BAD_LOGGED)
+        await wait_for_verdict(here, others[0], True)
         asked = here.caches.asked[1]
-        served = sum([await pulls(here, place, 40, 500_000 + 1000 * place) for place in others])
+        served = sum([await count_served(here, index, 40, 500_000 + 1000 * index) for index in others])
         assert served == 80 and here.caches.asked[1] == asked  # neither paid a failure to learn it
         # The prober is killed: its verdict holds until another front has taken the task over, and on.
         here.worlds[prober].process.kill()
         second = await here.probing(prober)
-        await here.worlds[second].logged(BAD)
-        assert await pulls(here, second, 40, 600_000) == 40 and here.caches.asked[1] == asked
+        await here.worlds[second].logged(BAD_LOGGED)
+        assert await count_served(here, second, 40, 600_000) == 40 and here.caches.asked[1] == asked
         here.caches.silent.clear()
-        await here.worlds[second].logged(GOOD)
-        for place in others:
-            await hears(here, place, False)
-        last = next(place for place in others if place != second)
+        await here.worlds[second].logged(GOOD_LOGGED)
+        for index in others:
+            await wait_for_verdict(here, index, False)
+        last = next(index for index in others if index != second)
         counters = await here.worlds[last].stop()
         assert counters["fleet.verdict.heard"] >= 2 and "fleet.probes" not in counters
 
 
-async def test_a_front_cut_off_from_the_service_serves_on_and_lets_verdicts_end() -> None:
+async def test_a_front_cut_off_from_the_service_keeps_serving_and_its_verdicts_expire() -> None:
     async with fronts(2, NAMES, lasts_ms=1800) as here:
         prober = await here.probing()
         other = 1 - prober
         here.caches.silent.add(1)
-        await here.worlds[prober].logged(BAD)
-        await hears(here, other, True)
+        await here.worlds[prober].logged(BAD_LOGGED)
+        await wait_for_verdict(here, other, True)
         await here.links[other].set_cut()
         await here.worlds[other].logged(b"the ruling on cache-2 ended unsaid")
         here.caches.silent.clear()
-        await hears(here, other, False)
-        assert await pulls(here, other, 20, 700_000) == 20
+        await wait_for_verdict(here, other, False)
+        assert await count_served(here, other, 20, 700_000) == 20
 
 
-async def test_a_prober_paused_past_its_lease_rules_nothing_when_it_wakes() -> None:
+async def test_a_prober_paused_beyond_its_lease_publishes_no_verdict_on_resume() -> None:
     async with fronts(2, NAMES) as here:
         first = await here.probing()
         os.kill(here.worlds[first].process.pid, signal.SIGSTOP)
         second = await here.probing(first)
         here.caches.silent.add(1)
-        await here.worlds[second].logged(BAD)
-        await hears(here, second, True)
-        said = here.worlds[first].output.count(b"ruled")
+        await here.worlds[second].logged(BAD_LOGGED)
+        await wait_for_verdict(here, second, True)
+        rulings_logged = here.worlds[first].output.count(b"ruled")
         os.kill(here.worlds[first].process.pid, signal.SIGCONT)
         await anyio.sleep(1.0)
-        assert here.worlds[first].output.count(b"ruled") == said
-        await hears(here, first, True)  # awake, it goes by the other's word
+        assert here.worlds[first].output.count(b"ruled") == rulings_logged
+        await wait_for_verdict(here, first, True)  # awake, it goes by the other's word
 
 
-async def test_one_front_reads_the_change_log_for_all_and_a_drain_reaches_each() -> None:
+async def test_one_front_reads_the_change_log_for_all_and_a_drain_reaches_every_front() -> None:
     async with fronts(3, NAMES) as here:
         reader = await here.probing(task="list")
-        others = [place for place in range(3) if place != reader]
+        others = [index for index in range(3) if index != reader]
         await anyio.sleep(3.0)  # a long poll is 2 s: those that were out have ended
         counts = [len(front.polled) for front in here.worlds]
         await anyio.sleep(3.0)
-        more = [len(front.polled) - count for front, count in zip(here.worlds, counts, strict=True)]
-        assert more[reader] >= 1 and [more[place] for place in others] == [0, 0]
+        new_polls = [len(front.polled) - count for front, count in zip(here.worlds, counts, strict=True)]
+        assert new_polls[reader] >= 1 and [new_polls[index] for index in others] == [0, 0]
         # A drain is told: the reader hears it by its poll, the others by its word.
         for front in here.worlds:
             drained = front.line("cache-2", status="leaving")
             front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
         before = anyio.current_time()
-        await hears(here, others[0], True)
+        await wait_for_verdict(here, others[0], True)
         assert len(here.worlds[others[0]].polled) == counts[others[0]] and anyio.current_time() - before < 2.0
         # The reader dies: each polls itself until another reads for it.
         here.worlds[reader].process.kill()
@@ -122,11 +122,11 @@
         for front in here.worlds:
             ready = front.line("cache-2", status="active")
             front.tell(fleet={"index": 3, "snapshot": False, "endpoints": [ready]})
-        for place in others:
-            await hears(here, place, False)
+        for index in others:
+            await wait_for_verdict(here, index, False)
 
 
-async def test_a_front_cut_off_from_the_service_reads_the_change_log_itself() -> None:
+async def test_a_front_cut_off_from_the_service_polls_the_change_log_itself() -> None:
     async with fronts(2, NAMES) as here:
         reader = await here.probing(task="list")
         other = 1 - reader
@@ -136,70 +136,76 @@
         drained = front.line("cache-2", status="leaving")
         front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
         await front.polled_from(2)  # within the bound of 2.5 s and a poll
-        await hears(here, other, True)
+        await wait_for_verdict(here, other, True)
 
 
 async def test_without_a_service_the_front_serves_as_without_a_fleet() -> None:
     async with fronts(1, NAMES) as here:
         here.etcd.kill()
         await here.etcd.wait()
-        assert await pulls(here, 0, 40, 1) == 40
+        assert await count_served(here, 0, 40, 1) == 40
         assert await here.worlds[0].stop()
 
 
-BAD_FLEETS = {
+INVALID_TERMS = {
     "ttl: '80ms', margin: '0ms', renew: '20ms'": "the service grants whole seconds",
     "ttl: '1s', margin: '900ms', renew: '200ms'": "not more than a round trip",
     "ttl: '1s', margin: '200ms', renew: '900ms'": "so that a renewal arrives in time",
 }
 
 
-@pytest.mark.parametrize("terms", list(BAD_FLEETS))
-def test_terms_that_cannot_keep_one_owner_are_refused_at_load(terms: str, tmp_path: Path) -> None:
-    assert BAD_FLEETS[terms] in refused(tmp_path, f"probe: {{ {terms} }}")
+@pytest.mark.parametrize("terms", list(INVALID_TERMS))
+def test_terms_that_cannot_ensure_one_owner_are_rejected_at_load(terms: str, tmp_path: Path) -> None:
+    assert INVALID_TERMS[terms] in load_faults(tmp_path, f"probe: {{ {terms} }}")
 
 
-def test_a_lease_shorter_than_a_round_trip_is_refused_at_load(tmp_path: Path) -> None:
-    told = refused(tmp_path, "probe: { ttl: '1s', margin: '0ms', renew: '200ms' }", "round_trip: '1200ms',")
-    assert "fleet.tasks.probe.ttl: 1000 ms is not longer than a round trip of 1200 ms" in told
+def test_a_lease_shorter_than_a_round_trip_is_rejected_at_load(tmp_path: Path) -> None:
+    faults = load_faults(
+        tmp_path, "probe: { ttl: '1s', margin: '0ms', renew: '200ms' }", "round_trip: '1200ms',"
+    )
+    assert "fleet.tasks.probe.ttl: 1000 ms is not longer than a round trip of 1200 ms" in faults
 
 
-def test_verdicts_that_end_before_another_prober_can_be_there_are_refused_at_load(tmp_path: Path) -> None:
+def test_verdicts_that_expire_before_another_prober_can_take_over_are_rejected_at_load(
+    tmp_path: Path,
+) -> None:
     probing = "probing: { lasts: '2s' },"
-    told = refused(tmp_path, "probe: { ttl: '2s', margin: '200ms', renew: '400ms' }", probing)
-    assert "fleet.probing.lasts: 2000 ms ends before another front can have taken the task over" in told
-    assert "nobody would probe" in refused(
+    faults = load_faults(tmp_path, "probe: { ttl: '2s', margin: '200ms', renew: '400ms' }", probing)
+    assert "fleet.probing.lasts: 2000 ms ends before another front can have taken the task over" in faults
+    assert "nobody would probe" in load_faults(
         tmp_path, "list: { ttl: '2s', margin: '200ms', renew: '400ms' }", probing
     )
-    assert "fleet.service" in refused(tmp_path, "", service="nowhere")
+    assert "fleet.service" in load_faults(tmp_path, "", service="nowhere")
 
 
-def test_the_example_of_a_fleet_is_a_good_file_and_its_terms_are_read_back() -> None:
+def test_the_fleet_example_is_valid_and_its_terms_are_decoded_as_encoded() -> None:
     loaded = load(Path(__file__).parent.parent / "deploy" / "fleet.jsonnet", SAMPLE["settings"])
-    again = read_compiled(encode_compiled(loaded.compiled, loaded.network_intervals))
-    assert again.fleet is not None and again.fleet == loaded.compiled.fleet
-    terms = read_fleet(again.fleet)
+    decoded = read_compiled(encode_compiled(loaded.compiled, loaded.network_intervals))
+    assert decoded.fleet is not None and decoded.fleet == loaded.compiled.fleet
+    terms = read_fleet(decoded.fleet)
     assert set(terms.tasks) == {"probe", "list", "limits"} and terms.grant_timing == (500.0, 3000.0)
     assert terms.in_flight_limits == (400.0, 800.0)
     assert terms.max_log_age_ms == 4000.0 and terms.probing.lasts == 6000.0
 
 
-def refused(
-    folder: Path, tasks: str, more: str = "", service: str = "127.0.0.1:2379", fronts: int = 1
+def load_faults(
+    folder: Path, tasks: str, other_fields: str = "", service: str = "127.0.0.1:2379", fronts: int = 1
 ) -> str:
     """Return the faults of a file with such a fleet."""
     from cometseam.operator.compiled import OperatorFileError
 
     path = folder / "operator.jsonnet"
-    path.write_text(f"{{ version: 1, fleet: {{ service: '{service}', {more} tasks: {{ {tasks} }} }} }}")
+    path.write_text(
+        f"{{ version: 1, fleet: {{ service: '{service}', {other_fields} tasks: {{ {tasks} }} }} }}"
+    )
     with pytest.raises(OperatorFileError) as caught:
         load(path, {**SAMPLE["settings"], "balancers": fronts})
     return "\n".join(str(fault) for fault in caught.value.faults)
 
 
-def test_a_cap_that_leaves_a_front_without_a_grant_no_relay_is_refused_at_load(tmp_path: Path) -> None:
+def test_a_cap_below_one_relay_for_a_front_without_a_grant_is_rejected_at_load(tmp_path: Path) -> None:
     task = "limits: { ttl: '1s', margin: '250ms', renew: '200ms' }"
-    more = "limits: {{ relays: {{ caches: {0}, parents: {0} }} }},"
-    told = refused(tmp_path, task, more.format(2), fronts=3)
-    assert "relays.parents: 2 among 3 fronts leaves a front without a grant less than one relay" in told
-    assert "nobody would share anything out" in refused(tmp_path, "", more.format(8))
+    other_fields = "limits: {{ relays: {{ caches: {0}, parents: {0} }} }},"
+    faults = load_faults(tmp_path, task, other_fields.format(2), fronts=3)
+    assert "relays.parents: 2 among 3 fronts leaves a front without a grant less than one relay" in faults
+    assert "nobody would share anything out" in load_faults(tmp_path, "", other_fields.format(8))
--- a/tests/test_limits_fronts.py
+++ b/tests/test_limits_fronts.py
@@ -28,24 +28,24 @@
     return "asyncio"
 
 
-async def ask(
-    here: Fronts, place: int, rate: Callable[[float], float], length: float, first: int = 0
+async def send_pulls(
+    here: Fronts, index: int, rate: Callable[[float], float], length: float, first_number: int = 0
 ) -> None:
     """Have one client ask through a front at a rate that changes with time, until the front ends."""
-    began, number = time.monotonic(), first
+    started_at, number = time.monotonic(), first_number
     try:
-        caller = await here.worlds[place].call()
-        while (passed := time.monotonic() - began) < length:
-            wanted = rate(passed)
-            if not wanted:
+        client = await here.worlds[index].call()
+        while (elapsed := time.monotonic() - started_at) < length:
+            pulls_per_s = rate(elapsed)
+            if not pulls_per_s:
                 await anyio.sleep(0.05)
                 continue
             number += 1
-            txn = f"{place + 1:08x}{number:08x}"
-            item = f"{(place * 7919 + number) * 2654435761 % (1 << 64):016x}"
-            await caller.send(order(number, txn=txn, item=item, ram="875"))  # 250 ms of sending: the mean
-            await caller.next()
-            await anyio.sleep(max(1.0 / wanted - 0.004, 0.0))
+            txn = f"{index + 1:08x}{number:08x}"
+            item = f"{(index * 7919 + number) * 2654435761 % (1 << 64):016x}"
+            await client.send(order(number, txn=txn, item=item, ram="875"))  # 250 ms of sending: the mean
+            await client.next()
+            await anyio.sleep(max(1.0 / pulls_per_s - 0.004, 0.0))
     except (OSError, anyio.BrokenResourceError, anyio.IncompleteRead, anyio.EndOfStream):
         return  # the front was killed: that is the test's doing
 
@@ -60,22 +60,22 @@
             await here.probing(task="limits")
         here.cold_at = time.monotonic()
         for front in here.worlds:
-            anew = front.line("cache-2", since_ms=time.time() * 1000.0)
-            front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [anew]})
+            restarted_line = front.line("cache-2", since_ms=time.time() * 1000.0)
+            front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [restarted_line]})
         async with anyio.create_task_group() as tasks:
-            for place in range(FRONTS):
-                tasks.start_soon(ask, here, place, lambda at, place=place: rate(place, at), length)
+            for index in range(FRONTS):
+                tasks.start_soon(send_pulls, here, index, lambda at, index=index: rate(index, at), length)
             tasks.start_soon(fault, here)
         return here
 
 
-def one_hot(place: int, at: float) -> float:
-    return 300.0 if place == 0 else 2.0
+def one_hot(index: int, at: float) -> float:
+    return 300.0 if index == 0 else 2.0
 
 
-def moving(place: int, at: float) -> float:
+def moving(index: int, at: float) -> float:
     """Demand moves to another front every second."""
-    return 150.0 if int(at) % FRONTS == place else 0.0
+    return 150.0 if int(at) % FRONTS == index else 0.0
 
 
 async def nothing(here: Fronts) -> None:
@@ -90,10 +90,10 @@
 async def coordinator_paused(here: Fronts) -> None:
     """Past its lease and its grants; it wakes while another shares out, with its old ones still in hand."""
     await anyio.sleep(2.5)
-    place = await here.probing(task="limits")
-    os.kill(here.worlds[place].process.pid, signal.SIGSTOP)
+    index = await here.probing(task="limits")
+    os.kill(here.worlds[index].process.pid, signal.SIGSTOP)
     await anyio.sleep(2.5)
-    os.kill(here.worlds[place].process.pid, signal.SIGCONT)
+    os.kill(here.worlds[index].process.pid, signal.SIGCONT)
 
 
 async def hot_link_cut(here: Fronts) -> None:
@@ -136,18 +136,18 @@
     """They ask on as soon as they are up."""
     await restarted(here)
     async with anyio.create_task_group() as tasks:
-        for place in (0, 1):
-            tasks.start_soon(ask, here, place, lambda at: 100.0, 4.0, 500_000)
+        for index in (0, 1):
+            tasks.start_soon(send_pulls, here, index, lambda at: 100.0, 4.0, 500_000)
 
 
-async def test_a_hot_front_gets_what_the_others_leave_and_the_cold_cache_no_more() -> None:
+async def test_a_hot_front_uses_the_share_that_others_leave_and_the_cold_cache_stays_in_its_limit() -> None:
     here = await play(True, one_hot, 8.0, nothing)
     assert over_limit(here) <= 1.0
     used = [share for at, share in here.used() if at > 4.0]
     assert max(used) > 0.6  # with an equal part for each front: a third and what the others send
 
 
-async def test_without_sharing_a_hot_front_has_an_equal_part_alone() -> None:
+async def test_without_sharing_a_hot_front_has_only_an_equal_share() -> None:
     here = await play(False, one_hot, 8.0, nothing)
     assert over_limit(here) <= 1.0 and max(share for at, share in here.used() if at > 4.0) < 0.5
 
@@ -156,23 +156,23 @@
     "fault",
     [coordinator_killed, coordinator_paused, hot_link_cut, all_links_cut, service_frozen, service_split],
 )
-async def test_the_cold_cache_gets_no_more_than_its_limit_under(fault: Fault) -> None:
+async def test_the_cold_cache_stays_in_its_limit_under(fault: Fault) -> None:
     here = await play(True, moving, 9.0, fault)
     assert over_limit(here) <= 1.0, here.used()
 
 
-async def test_a_front_whose_clock_runs_fast_is_over_by_no_more_than_its_floor() -> None:
+async def test_with_a_fast_clock_a_front_exceeds_the_limit_by_at_most_its_floor() -> None:
     """Far faster than the file's drift: its grants end early, and it is back at a floor that may be lent."""
     here = await play(True, moving, 9.0, all_links_cut, rates=(1.5, 1.0, 1.0))
     assert over_limit(here) <= 1.0 + 1.0 / FRONTS, here.used()
 
 
-async def test_two_of_three_fronts_restarted_at_once_stay_within_the_bound_of_processes() -> None:
+async def test_with_two_of_three_fronts_restarted_at_once_the_load_stays_within_the_bound() -> None:
     """What a dead process sent still weighs for a window, and the new one begins at its floor: N is five."""
     here = await play(True, moving, 9.0, most_restarted)
     assert over_limit(here) <= 5.0 / 3.0, here.used()
 
 
-def test_the_limit_in_relays_is_what_the_settings_say() -> None:
+def test_the_limit_in_relays_follows_from_the_settings() -> None:
     """0.75 of 2.5 times a fifth of 8 streams for 3 s, in pulls of 250 ms; a warm cache has none."""
     assert cold_limit(0.0) == cold_limit(2.9) == 36.0 and cold_limit(6.0) > 60.0 and cold_limit(14.1) == 0.0
--- a/tests/test_relays_fronts.py
+++ b/tests/test_relays_fronts.py
@@ -24,7 +24,7 @@
 
 pytestmark = pytest.mark.anyio
 CAP = 18  # relays out at one cache: six for each front in equal parts
-HOT, COOL = 60, 1  # clients that wait on the hot front, and on each of the others
+HOT_CLIENTS, COOL_CLIENTS = 60, 1  # clients that wait on the hot front, and on each of the others
 
 
 @pytest.fixture
@@ -32,27 +32,27 @@
     return "asyncio"
 
 
-def at_pace(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
+def answer_at_expected_pace(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
     """Answer as late as still counts as at the pace of so small a pull: nothing seems crowded."""
     return 0.1, "DONE", f"{COPY},rep=util:0.5;x1:0.5", b"x"
 
 
-async def wait_on(here: Fronts, place: int, client: int, turn: float, length: float) -> None:
+async def send_pulls_in_turn(here: Fronts, index: int, client: int, turn: float, length: float) -> None:
     """One client that asks, waits for the answer and asks again; the hot front changes every `turn` s."""
-    began, numbers = time.monotonic(), count(1)
-    while time.monotonic() - began < length:
+    started_at, numbers = time.monotonic(), count(1)
+    while time.monotonic() - started_at < length:
         try:
-            caller = await here.worlds[place].call()
-            while (passed := time.monotonic() - began) < length:
-                hot = int(passed / turn) % FRONTS if turn else 0
-                if client >= (HOT if place == hot else COOL):
+            connection = await here.worlds[index].call()
+            while (elapsed := time.monotonic() - started_at) < length:
+                hot = int(elapsed / turn) % FRONTS if turn else 0
+                if client >= (HOT_CLIENTS if index == hot else COOL_CLIENTS):
                     await anyio.sleep(0.05)
                     continue
                 number = next(numbers)
-                txn = f"{place + 1:04x}{client:04x}{number:08x}"
-                item = f"{((place * 64 + client) * 7919 + number) * 2654435761 % (1 << 64):016x}"
-                await caller.send(order(number, txn=txn, item=item))
-                if (await caller.next()).code != 0:
+                txn = f"{index + 1:04x}{client:04x}{number:08x}"
+                item = f"{((index * 64 + client) * 7919 + number) * 2654435761 % (1 << 64):016x}"
+                await connection.send(order(number, txn=txn, item=item))
+                if (await connection.next()).code != 0:
                     await anyio.sleep(0.1)
         except (OSError, anyio.BrokenResourceError, anyio.IncompleteRead, anyio.EndOfStream):
             await anyio.sleep(0.2)  # the front was killed, that is the test's doing; perhaps it comes back
@@ -60,13 +60,15 @@
 
 async def play(cap: int, fault: Fault, length: float = 7.0, turn: float = 0.0) -> Fronts:
     """Have clients wait on three fronts, throw the fault; the caches keep the record."""
-    async with fronts(FRONTS, NAMES, limits=True, expected=FRONTS, relays=cap, behave=at_pace) as here:
+    async with fronts(
+        FRONTS, NAMES, limits=True, expected=FRONTS, relays=cap, behave=answer_at_expected_pace
+    ) as here:
         await here.probing(task="limits")
         here.cold_at = time.monotonic()
         async with anyio.create_task_group() as tasks:
-            for place in range(FRONTS):
-                for client in range(HOT):
-                    tasks.start_soon(wait_on, here, place, client, turn, length)
+            for index in range(FRONTS):
+                for client in range(HOT_CLIENTS):
+                    tasks.start_soon(send_pulls_in_turn, here, index, client, turn, length)
             tasks.start_soon(fault, here)
         return here
 
@@ -76,17 +78,17 @@
     return max(out for at, _, out in here.caches.levels if at - here.cold_at >= after)
 
 
-async def test_a_hot_front_has_more_out_than_an_equal_part_and_the_fleet_no_more_than_the_cap() -> None:
+async def test_a_hot_front_exceeds_an_equal_share_and_the_fleet_stays_within_the_cap() -> None:
     here = await play(CAP, nothing, 8.0)
     assert most(here) <= CAP and most(here, after=5.0) >= 11  # equal parts: six, and one of each other front
 
 
-async def test_without_a_cap_the_fleet_has_more_out() -> None:
+async def test_without_a_cap_the_fleet_exceeds_it() -> None:
     here = await play(0, nothing, 4.0, turn=1.0)
     assert most(here) > CAP
 
 
 @pytest.mark.parametrize("fault", [coordinator_killed, hot_link_cut, all_links_cut, service_split])
-async def test_no_cache_has_more_than_the_cap_out_while_demand_moves_under(fault: Fault) -> None:
+async def test_with_moving_demand_no_cache_exceeds_the_cap_under(fault: Fault) -> None:
     here = await play(CAP, fault, 8.0, turn=2.0)
     assert most(here) <= CAP
--- a/tests/test_retries_fronts.py
+++ b/tests/test_retries_fronts.py
@@ -14,16 +14,16 @@
     NAMES,
     Fault,
     all_links_cut,
-    ask,
     coordinator_killed,
     hot_link_cut,
     nothing,
     one_hot,
+    send_pulls,
 )
 
 pytestmark = pytest.mark.anyio
 ALLOWED = 12  # further relays in a second: four for each front in equal parts
-WINDOW = 1.0  # s
+WINDOW_S = 1.0  # s
 
 
 @pytest.fixture
@@ -31,18 +31,20 @@
     return "asyncio"
 
 
-def errs(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
+def answer_error(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
     return 0.002, "BROKE", "-", b""
 
 
 async def play(allowed: int, fault: Fault, length: float = 8.0) -> Fronts:
     """One front has nearly all that is asked, everything fails; the caches keep the record."""
-    async with fronts(FRONTS, NAMES, limits=True, expected=FRONTS, budget=allowed, behave=errs) as here:
+    async with fronts(
+        FRONTS, NAMES, limits=True, expected=FRONTS, budget=allowed, behave=answer_error
+    ) as here:
         await here.probing(task="limits")
         here.cold_at = time.monotonic()
         async with anyio.create_task_group() as tasks:
-            for place in range(FRONTS):
-                tasks.start_soon(ask, here, place, lambda at, place=place: one_hot(place, at), length)
+            for index in range(FRONTS):
+                tasks.start_soon(send_pulls, here, index, lambda at, index=index: one_hot(index, at), length)
             tasks.start_soon(fault, here)
         return here
 
@@ -50,22 +52,22 @@
 def further(here: Fronts) -> list[tuple[float, int]]:
     """At each further relay: s since the start, and how many came in the last window."""
     times = sorted(at - here.cold_at for relays in here.caches.relays.values() for at, _ in relays[1:])
-    return [(at, sum(at - WINDOW < each for each in times[: n + 1])) for n, at in enumerate(times)]
+    return [(at, sum(at - WINDOW_S < earlier for earlier in times[: n + 1])) for n, at in enumerate(times)]
 
 
-async def test_one_front_under_an_outage_may_use_what_the_others_leave_and_no_more() -> None:
+async def test_in_an_outage_one_front_uses_the_retry_budget_that_others_leave_and_no_more() -> None:
     here = await play(ALLOWED, nothing)
     counts = further(here)
     assert max(count for _, count in counts) <= ALLOWED
     assert max(count for at, count in counts if at > 5.0) >= 7  # equal parts: four, and a few of the others
 
 
-async def test_without_the_fleets_word_the_fleet_sends_more() -> None:
+async def test_without_a_fleet_budget_the_fleet_sends_more() -> None:
     here = await play(10_000, nothing, 3.0)
     assert max(count for _, count in further(here)) > 2 * ALLOWED
 
 
 @pytest.mark.parametrize("fault", [coordinator_killed, hot_link_cut, all_links_cut])
-async def test_the_fleet_sends_no_more_further_relays_than_allowed_under(fault: Fault) -> None:
+async def test_the_fleet_stays_within_its_retry_budget_under(fault: Fault) -> None:
     here = await play(ALLOWED, fault)
     assert max(count for _, count in further(here)) <= ALLOWED
