--- a/tests/standins/fronts.py
+++ b/tests/standins/fronts.py
@@ -1,5 +1,5 @@
 """Several real fronts (`python -m cometseam serve`) on loopback, with an operator's file that names the etcd
-stand-in, caches that say whether they work, and our proxy on each front's link to the service.
+stand-in, caches that answer health probes, and a fault proxy on each front's link to the service.
 """
 
 import os
@@ -30,7 +30,7 @@
 BUDGET_SECTION = """ + { default: { relays: 3, until: 'cut-off' }, largest: { maps: '2MB', grids: '2MB' },
   front: { budget: { share: 1, floor: 1000, window: '1s', fleet: %d } } }"""
 STATE_PATTERN = rb"fleet: %s: (\w+), token (\d+): "
-WINDOW_S = 3.0  # s over which what a cold cache gets counts: the sample's overloadFor
+WINDOW_S = 3.0  # over which the load of a cold cache counts: the sample's overloadFor
 COPY = "tag=4be0c1927d55a6f3,minted=1,why=cached"
 
 
@@ -39,7 +39,7 @@
 
 
 def cold_limit(age_s: float) -> float:
-    """How many relays of 250 ms a cold cache of the sample bears in a window at an age (s); 0: it is warm."""
+    """Return the limit of the sample's cold cache at an age: relays of 250 ms in a window; 0: it is warm."""
     if age_s >= 14.0:
         return 0.0
     share = 0.2 + 0.8 * max(age_s - WINDOW_S, 0.0) / 14.0
@@ -47,13 +47,16 @@
 
 
 def over_limit(here: "Fronts") -> float:
-    """The most that cache-2 got in a window, by its limit; one relay is let off for times read apart."""
+    """Return the largest load of cache-2 in a window as a fraction of its limit.
+
+    One relay is subtracted, since the times of both ends are measured separately.
+    """
     return max((share - 1.0 / cold_limit(at) for at, share in here.used()), default=0.0)
 
 
 @dataclass
 class Fronts:
-    """Fronts by place, the caches they share, the service."""
+    """The fronts, the caches that they share, and the service."""
 
     caches: Caches
     etcd: Process
@@ -63,11 +66,14 @@
     links: list[Proxy] = field(default_factory=list)
     stack: AsyncExitStack = field(default_factory=AsyncExitStack)
     folders: list[Path] = field(default_factory=list)
-    extra_members: list[Process] = field(default_factory=list)  # further members that a test started
-    cold_at: float = 0.0  # s, monotonic: when cache-2 started anew
+    extra_members: list[Process] = field(default_factory=list)  # of the service, started by a test
+    cold_at: float = 0.0  # s, monotonic: when cache-2 restarted
 
     def used(self) -> list[tuple[float, float]]:
-        """At each relay to cache-2 since it is cold: s since then, relays in the last window by the limit."""
+        """Return for each relay to cache-2 since its restart: s since then, and the load.
+
+        The load is the number of relays in the last window as a fraction of the limit.
+        """
         times = sorted(at for relays in self.caches.relays.values() for at, cache in relays if cache == 1)
         times = [at - self.cold_at for at in times if at >= self.cold_at]
         used_shares = []
@@ -79,7 +85,7 @@
         return used_shares
 
     async def split_service(self, indices: list[int]) -> None:
-        """Start a second member from a copy of the log and lead these fronts to it: each thinks it is it."""
+        """Start a second member from a copy of the log and redirect these fronts to it (a split service)."""
         copy = self.wal + ".split"
         shutil.copyfile(self.wal, copy)
         member, port = await start_etcd(copy)
@@ -90,7 +96,7 @@
             self.links[index].cut = False
 
     async def restart(self, indices: list[int]) -> None:
-        """Kill fronts at once and start them again, each with what it is configured with."""
+        """Kill fronts at the same time and restart them, each with its own configuration."""
         for index in indices:
             self.worlds[index].process.kill()
         for index in indices:
@@ -99,7 +105,7 @@
             await self.worlds[index].start(self.folders[index])
 
     def owner(self, task: str) -> int | None:
-        """The place of the front that holds a task by its own log; None where none does."""
+        """Return the index of the front that owns a task by its own log; None where none does."""
         owners = []
         for index, here in enumerate(self.worlds):
             states = re.findall(STATE_PATTERN % task.encode(), here.output)
@@ -108,7 +114,7 @@
         return max(owners)[1] if owners else None
 
     async def probing(self, excluded: int | None = None, task: str = "probe") -> int:
-        """Wait until a front holds a task, one that is not `other`."""
+        """Wait until a front other than `excluded` owns a task; return its index."""
         with anyio.fail_after(15):
             while (index := self.owner(task)) is None or index == excluded:
                 await anyio.sleep(0.02)
@@ -124,10 +130,10 @@
     count: int, names: tuple[str, ...], lasts_ms: int = 2000, limits: bool = False, expected: int = 1,
     relays: int = 0, budget: int = 0, behave: Behave = answer_at_once, rates: tuple[float, ...] = (),
 ) -> AsyncIterator[Fronts]:  # fmt: skip
-    """`count` fronts on the same caches, `cache-1` and `names`; each is told of `expected` fronts.
+    """Run `count` fronts on the same caches, `cache-1` and `names`; each is configured for `expected` fronts.
 
-    `relays`: how many the fleet may have out at one cache; `budget`: further relays of the fleet in a second;
-    0: any. `rates`: how fast the clocks of leases run, by front.
+    `relays`: the fleet's cap on relays in flight at one cache; `budget`: further relays of the fleet in a
+    second; 0: no limit. `rates`: the rates of the lease clocks, by front.
     """
     budget_section = BUDGET_SECTION % budget if budget else ""
     cap = f", relays: {{ caches: {relays} }}" if relays else ""
@@ -136,7 +142,7 @@
         settings = front.config["settings"]
         settings["balancers"], settings["familyInfo"]["instancesByZone"] = expected, [0, 0, expected]
         for grade in settings["grades"] if relays else ():
-            grade["hardLimit"] = 2500.0  # for so long a part that was given up weighs
+            grade["hardLimit"] = 2500.0  # the window over which a share that was given up still counts
 
     with tempfile.TemporaryDirectory() as folder, Caches(1 + len(names), behave) as caches:
         wal = str(Path(folder) / "etcd.wal")
@@ -172,7 +178,7 @@
                             command=_skewed_command(rates[number]) if rates else None,
                         )
                     )
-                    for cache in front.caches.values():  # the parent and the origin of its own
+                    for cache in front.caches.values():  # the front's own parent and origin
                         cache.alive = True
                     here.worlds.append(front)
                     here.folders.append(front_folder)
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -1,4 +1,8 @@
-"""Real fronts that take part in a fleet: one probes for all, all hear its verdicts, faults between them."""
+"""Real fronts in a fleet: one probes and one reads the change log for all, with faults between them.
+
+They guard against fronts that act on missing, stale or expired verdicts and log updates when the prober or
+the reader dies, is paused, or is cut off from the coordination service.
+"""
 
 import os
 import signal
@@ -36,7 +40,7 @@
 
 
 async def wait_for_verdict(here: Fronts, index: int, bad: bool) -> None:
-    """Wait until a front goes by the verdict on cache-2, as its pulls show."""
+    """Wait until a front applies the verdict on cache-2, as the relays of its pulls show."""
     first = 1 + index * 100_000 + here.caches.asked.total()
     with anyio.fail_after(10):
         while True:
@@ -56,8 +60,8 @@
         await wait_for_verdict(here, others[0], True)
         asked = here.caches.asked[1]
         served = sum([await count_served(here, index, 40, 500_000 + 1000 * index) for index in others])
-        assert served == 80 and here.caches.asked[1] == asked  # neither paid a failure to learn it
-        # The prober is killed: its verdict holds until another front has taken the task over, and on.
+        assert served == 80 and here.caches.asked[1] == asked  # neither had a failure of its own
+        # The prober is killed: its verdict applies until another front owns the task, and after that.
         here.worlds[prober].process.kill()
         second = await here.probing(prober)
         await here.worlds[second].logged(BAD_LOGGED)
@@ -97,26 +101,26 @@
         os.kill(here.worlds[first].process.pid, signal.SIGCONT)
         await anyio.sleep(1.0)
         assert here.worlds[first].output.count(b"ruled") == rulings_logged
-        await wait_for_verdict(here, first, True)  # awake, it goes by the other's word
+        await wait_for_verdict(here, first, True)  # after it resumes, it applies the other prober's verdict
 
 
 async def test_one_front_reads_the_change_log_for_all_and_a_drain_reaches_every_front() -> None:
     async with fronts(3, NAMES) as here:
         reader = await here.probing(task="list")
         others = [index for index in range(3) if index != reader]
-        await anyio.sleep(3.0)  # a long poll is 2 s: those that were out have ended
+        await anyio.sleep(3.0)  # a long poll is 2 s: those in flight have ended
         counts = [len(front.polled) for front in here.worlds]
         await anyio.sleep(3.0)
         new_polls = [len(front.polled) - count for front, count in zip(here.worlds, counts, strict=True)]
         assert new_polls[reader] >= 1 and [new_polls[index] for index in others] == [0, 0]
-        # A drain is told: the reader hears it by its poll, the others by its word.
+        # A drain is logged: the reader receives it by its poll, the others by its update.
         for front in here.worlds:
             drained = front.line("cache-2", status="leaving")
             front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
         before = anyio.current_time()
         await wait_for_verdict(here, others[0], True)
         assert len(here.worlds[others[0]].polled) == counts[others[0]] and anyio.current_time() - before < 2.0
-        # The reader dies: each polls itself until another reads for it.
+        # The reader dies: each front polls itself until another is the reader.
         here.worlds[reader].process.kill()
         await here.probing(reader, task="list")
         for front in here.worlds:
@@ -191,7 +195,7 @@
 def load_faults(
     folder: Path, tasks: str, other_fields: str = "", service: str = "127.0.0.1:2379", fronts: int = 1
 ) -> str:
-    """Return the faults of a file with such a fleet."""
+    """Return the faults that loading a file with such a fleet reports."""
     from cometseam.operator.compiled import OperatorFileError
 
     path = folder / "operator.jsonnet"
--- a/tests/test_limits_fronts.py
+++ b/tests/test_limits_fronts.py
@@ -1,8 +1,8 @@
-"""Real fronts share out what a cold cache bears: a stand-in counts what it gets from all of them together,
-with faults between the processes and the service.
+"""Real fronts share the slow-start budget of a cold cache, with faults between the processes and the service.
 
-The limit is by the sample's settings: a cold cache's work in any window of 3 s. With pulls of one size it is
-a number of relays, the same for every front; the stand-in counts relays by its own clock.
+They guard against a cold cache getting more load from all fronts together than its budget: a stand-in counts
+the relays by its own clock. The limit follows from the sample's settings: a cold cache's work in any window
+of 3 s. With pulls of one size it is a number of relays, the same for every front.
 """
 
 import os
@@ -31,7 +31,7 @@
 async def send_pulls(
     here: Fronts, index: int, rate: Callable[[float], float], length: float, first_number: int = 0
 ) -> None:
-    """Have one client ask through a front at a rate that changes with time, until the front ends."""
+    """Send pulls by one client through a front, at a rate that changes with time, until the front ends."""
     started_at, number = time.monotonic(), first_number
     try:
         client = await here.worlds[index].call()
@@ -43,18 +43,18 @@
             number += 1
             txn = f"{index + 1:08x}{number:08x}"
             item = f"{(index * 7919 + number) * 2654435761 % (1 << 64):016x}"
-            await client.send(order(number, txn=txn, item=item, ram="875"))  # 250 ms of sending: the mean
+            await client.send(order(number, txn=txn, item=item, ram="875"))  # 250 ms of sending, the mean
             await client.next()
             await anyio.sleep(max(1.0 / pulls_per_s - 0.004, 0.0))
     except (OSError, anyio.BrokenResourceError, anyio.IncompleteRead, anyio.EndOfStream):
-        return  # the front was killed: that is the test's doing
+        return  # the front was killed by the test
 
 
 async def play(
     limits: bool, rate: Callable[[int, float], float], length: float, fault: Fault,
     rates: tuple[float, ...] = (),
 ) -> Fronts:  # fmt: skip
-    """Start fronts, have cache-2 start anew (cold), ask, throw the fault; the caches keep the record."""
+    """Start fronts, restart cache-2 (cold), send pulls, cause the fault; the caches record the relays."""
     async with fronts(FRONTS, NAMES, limits=limits, expected=FRONTS, rates=rates) as here:
         if limits:
             await here.probing(task="limits")
@@ -88,7 +88,7 @@
 
 
 async def coordinator_paused(here: Fronts) -> None:
-    """Past its lease and its grants; it wakes while another shares out, with its old ones still in hand."""
+    """Beyond its lease and its grants; it resumes with its old state while another front is coordinator."""
     await anyio.sleep(2.5)
     index = await here.probing(task="limits")
     os.kill(here.worlds[index].process.pid, signal.SIGSTOP)
@@ -104,7 +104,7 @@
 
 
 async def all_links_cut(here: Fronts) -> None:
-    """For three times what a grant lasts."""
+    """For three times the lifetime of a grant."""
     await anyio.sleep(2.5)
     for link in here.links:
         await link.set_cut()
@@ -121,19 +121,19 @@
 
 
 async def service_split(here: Fronts) -> None:
-    """Two halves, each with a coordinator that thinks it is the only one."""
+    """Two halves, each with a coordinator of its own."""
     await anyio.sleep(2.5)
     await here.split_service([0])
 
 
 async def restarted(here: Fronts) -> None:
-    """Two of three fronts are killed at once and come back."""
+    """Two of three fronts are killed at once and restarted."""
     await anyio.sleep(2.5)
     await here.restart([0, 1])
 
 
 async def most_restarted(here: Fronts) -> None:
-    """They ask on as soon as they are up."""
+    """Both send pulls again as soon as they have started."""
     await restarted(here)
     async with anyio.create_task_group() as tasks:
         for index in (0, 1):
@@ -144,7 +144,7 @@
     here = await play(True, one_hot, 8.0, nothing)
     assert over_limit(here) <= 1.0
     used = [share for at, share in here.used() if at > 4.0]
-    assert max(used) > 0.6  # with an equal part for each front: a third and what the others send
+    assert max(used) > 0.6  # with equal shares: a third, and what the others send
 
 
 async def test_without_sharing_a_hot_front_has_only_an_equal_share() -> None:
@@ -162,13 +162,13 @@
 
 
 async def test_with_a_fast_clock_a_front_exceeds_the_limit_by_at_most_its_floor() -> None:
-    """Far faster than the file's drift: its grants end early, and it is back at a floor that may be lent."""
+    """Far above the file's drift: its grants expire early, while its floor may be granted to others."""
     here = await play(True, moving, 9.0, all_links_cut, rates=(1.5, 1.0, 1.0))
     assert over_limit(here) <= 1.0 + 1.0 / FRONTS, here.used()
 
 
 async def test_with_two_of_three_fronts_restarted_at_once_the_load_stays_within_the_bound() -> None:
-    """What a dead process sent still weighs for a window, and the new one begins at its floor: N is five."""
+    """What an ended process sent counts for a window, and the new one starts at its floor: five count."""
     here = await play(True, moving, 9.0, most_restarted)
     assert over_limit(here) <= 5.0 / 3.0, here.used()
 
--- a/tests/test_relays_fronts.py
+++ b/tests/test_relays_fronts.py
@@ -1,5 +1,8 @@
-"""Real fronts share out how many relays they have out at one cache: the stand-in counts what is out there
-from all of them together, by its own record, with faults between the processes and the service.
+"""Real fronts share a cap on the relays in flight at one cache, with faults between the processes and the
+service.
+
+They guard against the fleet exceeding the cap when shares move between fronts: a stand-in records the relays
+in flight from all fronts together.
 """
 
 import time
@@ -23,8 +26,9 @@
 )
 
 pytestmark = pytest.mark.anyio
-CAP = 18  # relays out at one cache: six for each front in equal parts
-HOT_CLIENTS, COOL_CLIENTS = 60, 1  # clients that wait on the hot front, and on each of the others
+CAP = 18  # relays in flight at one cache: six for each front in equal shares
+HOT_CLIENTS = 60  # of the hot front
+COOL_CLIENTS = 1  # of each other front
 
 
 @pytest.fixture
@@ -33,12 +37,12 @@
 
 
 def answer_at_expected_pace(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
-    """Answer as late as still counts as at the pace of so small a pull: nothing seems crowded."""
+    """Answer as late as is still the expected pace of so small a pull, so that no slowdown is detected."""
     return 0.1, "DONE", f"{COPY},rep=util:0.5;x1:0.5", b"x"
 
 
 async def send_pulls_in_turn(here: Fronts, index: int, client: int, turn: float, length: float) -> None:
-    """One client that asks, waits for the answer and asks again; the hot front changes every `turn` s."""
+    """Run one client that sends one pull at a time; another front becomes the hot one every `turn` s."""
     started_at, numbers = time.monotonic(), count(1)
     while time.monotonic() - started_at < length:
         try:
@@ -55,11 +59,11 @@
                 if (await connection.next()).code != 0:
                     await anyio.sleep(0.1)
         except (OSError, anyio.BrokenResourceError, anyio.IncompleteRead, anyio.EndOfStream):
-            await anyio.sleep(0.2)  # the front was killed, that is the test's doing; perhaps it comes back
+            await anyio.sleep(0.2)  # the front was killed by the test, and may be restarted
 
 
 async def play(cap: int, fault: Fault, length: float = 7.0, turn: float = 0.0) -> Fronts:
-    """Have clients wait on three fronts, throw the fault; the caches keep the record."""
+    """Run clients on three fronts and cause the fault; the caches record the relays."""
     async with fronts(
         FRONTS, NAMES, limits=True, expected=FRONTS, relays=cap, behave=answer_at_expected_pace
     ) as here:
@@ -74,13 +78,14 @@
 
 
 def most(here: Fronts, after: float = 0.0) -> int:
-    """The most that was out at one cache from all fronts."""
+    """Return the largest number of relays in flight at one cache from all fronts."""
     return max(out for at, _, out in here.caches.levels if at - here.cold_at >= after)
 
 
 async def test_a_hot_front_exceeds_an_equal_share_and_the_fleet_stays_within_the_cap() -> None:
     here = await play(CAP, nothing, 8.0)
-    assert most(here) <= CAP and most(here, after=5.0) >= 11  # equal parts: six, and one of each other front
+    # With equal shares: six, and one of each other front.
+    assert most(here) <= CAP and most(here, after=5.0) >= 11
 
 
 async def test_without_a_cap_the_fleet_exceeds_it() -> None:
--- a/tests/test_retries_fronts.py
+++ b/tests/test_retries_fronts.py
@@ -1,5 +1,7 @@
-"""Real fronts share out the further relays that a budget allows the fleet: the stand-ins answer everything
-with an error and count, by their own record, what comes again from all fronts together; with faults between.
+"""Real fronts share the fleet's retry budget, with faults between the processes and the service.
+
+They guard against a retry storm above the fleet's budget in an outage: the stand-ins answer every relay with
+an error and record the further relays from all fronts together.
 """
 
 import time
@@ -22,8 +24,8 @@
 )
 
 pytestmark = pytest.mark.anyio
-ALLOWED = 12  # further relays in a second: four for each front in equal parts
-WINDOW_S = 1.0  # s
+ALLOWED = 12  # further relays in a second: four for each front in equal shares
+WINDOW_S = 1.0
 
 
 @pytest.fixture
@@ -36,7 +38,7 @@
 
 
 async def play(allowed: int, fault: Fault, length: float = 8.0) -> Fronts:
-    """One front has nearly all that is asked, everything fails; the caches keep the record."""
+    """Send nearly all pulls through one front; every relay fails, and the caches record the relays."""
     async with fronts(
         FRONTS, NAMES, limits=True, expected=FRONTS, budget=allowed, behave=answer_error
     ) as here:
@@ -50,7 +52,7 @@
 
 
 def further(here: Fronts) -> list[tuple[float, int]]:
-    """At each further relay: s since the start, and how many came in the last window."""
+    """Return for each further relay: s since the start, and how many arrived in the last window."""
     times = sorted(at - here.cold_at for relays in here.caches.relays.values() for at, _ in relays[1:])
     return [(at, sum(at - WINDOW_S < earlier for earlier in times[: n + 1])) for n, at in enumerate(times)]
 
@@ -59,7 +61,8 @@
     here = await play(ALLOWED, nothing)
     counts = further(here)
     assert max(count for _, count in counts) <= ALLOWED
-    assert max(count for at, count in counts if at > 5.0) >= 7  # equal parts: four, and a few of the others
+    # With equal shares: four, and a few of the others.
+    assert max(count for at, count in counts if at > 5.0) >= 7
 
 
 async def test_without_a_fleet_budget_the_fleet_sends_more() -> None:
