--- a/cometseam/soak/engine.py
+++ b/cometseam/soak/engine.py
@@ -23,17 +23,20 @@
 from cometseam.soak.endpoints import Endpoint
 from cometseam.soak.history import Acted, History, Lagged, Requested
 from cometseam.soak.plan import Fault, Kind, SoakTerms, draw
-from cometseam.soak.process import Front
-
-READY_WITHIN = 20.0  # s
-SETTLE = 1.5  # s after the last fault
-LAG_SEEN = 0.01  # s
-LEAST_ENDPOINTS = 2  # that stay ready
-REMOVED_FOR = 1.5  # s for which a removed endpoint still listens
-RELOADS = 3
-CROWD = 200  # idle connections at most
-SLOWEST_DISCOVERY = 1.0  # s
-STANDARD, PARENT, ORIGIN = "standard", "parent", "origin"
+from cometseam.soak.process import FrontProcess
+
+READY_TIMEOUT_S = 20.0  # s
+SETTLE_S = 1.5  # s after the last fault
+LAG_THRESHOLD_S = 0.01  # s
+MIN_READY_ENDPOINTS = 2  # that stay ready
+REMOVED_LISTEN_S = 1.5  # s for which a removed endpoint still listens
+RELOADS_PER_FAULT = 3
+MAX_IDLE_CONNECTIONS = 200  # idle connections at most
+MAX_DISCOVERY_DELAY_S = 1.0  # s
+# Endpoint types as the configuration writes them.
+STANDARD = "standard"
+PARENT = "parent"
+ORIGIN = "origin"
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +67,7 @@
     """
     folder.mkdir(parents=True, exist_ok=True)
     command = command or [sys.executable, "-m", "cometseam"]
-    soak = Soak(seed, terms, vary(config, seed, terms), folder, command, environment or {})
+    soak = Soak(seed, terms, config_for_seed(config, seed, terms), folder, command, environment or {})
     began_at = time.monotonic()
     try:
         await soak.run()
@@ -86,26 +89,26 @@
         self._seed, self._terms, self._folder = seed, terms, folder
         self._command, self._environment = command, {**os.environ, **environment}
         self._config = deepcopy(config)
-        self._chance = Random(seed)
+        self._random = Random(seed)
         self._log = EventLog(self.history)
         self._requests: dict[str, Requested] = {}
         self._endpoints: dict[str, Endpoint] = {}
-        self._fronts: list[Front] = []
+        self._fronts: list[FrontProcess] = []
         self._clients: list[list[Client]] = []
-        self._names = count(1)
-        self._reserved: list[socket.socket] = []
+        self._endpoint_numbers = count(1)
+        self._reserved_sockets: list[socket.socket] = []
         self._tasks: TaskGroup
 
     def close(self) -> None:
         """Give back the addresses."""
-        for holder in self._reserved:
-            holder.close()
+        for reserved in self._reserved_sockets:
+            reserved.close()
 
     def outcome(self, timeline: Path) -> Outcome:
         """Judge the history."""
         from cometseam.soak.history import Replied
 
-        limits = limits_of(self._config)
+        limits = limits_from_config(self._config)
         acted = Counter(each.kind for each in self.history.of(Acted))
         codes = Counter(each.code for each in self.history.of(Replied))
         lag = max((each.by for each in self.history.of(Lagged)), default=0.0)
@@ -118,75 +121,77 @@
             await self._add_endpoints()
             for number in range(self._terms.fronts):
                 await self._add_front(number)
-            with anyio.fail_after(READY_WITHIN):
+            with anyio.fail_after(READY_TIMEOUT_S):
                 for front in self._fronts:
-                    await _listens(front)
+                    await _wait_until_listening(front)
             self._add_clients()
             async with anyio.create_task_group() as faults:
                 began_at = time.monotonic()
                 for fault in draw(self._seed, self._terms):
                     await anyio.sleep(max(began_at + fault.at - time.monotonic(), 0.0))
-                    faults.start_soon(self._act, fault)
-            await anyio.sleep(SETTLE)
-            async with anyio.create_task_group() as ends:
+                    faults.start_soon(self._inject, fault)
+            await anyio.sleep(SETTLE_S)
+            async with anyio.create_task_group() as terminations:
                 for front in self._fronts:
-                    ends.start_soon(front.terminate)
+                    terminations.start_soon(front.terminate)
             self._tasks.cancel_scope.cancel()
 
     async def _measure_lag(self) -> None:
         while True:
-            due = time.monotonic() + LAG_SEEN
-            await anyio.sleep(LAG_SEEN)
-            by = time.monotonic() - due
-            if by > LAG_SEEN:
-                self.history.add(Lagged(time.monotonic(), by))
+            due_at = time.monotonic() + LAG_THRESHOLD_S
+            await anyio.sleep(LAG_THRESHOLD_S)
+            lag = time.monotonic() - due_at
+            if lag > LAG_THRESHOLD_S:
+                self.history.add(Lagged(time.monotonic(), lag))
 
     # What there is
 
     async def _add_endpoints(self) -> None:
-        lines = self._config["known"]["results"][0]["fleet"]["endpoints"]
-        for kind, how_many in ((STANDARD, self._terms.endpoints), (PARENT, 2), (ORIGIN, 1)):
-            like = next(line for line in lines if line["type"] == kind)
-            for _ in range(how_many):
-                await self._add_endpoint(like, since_ms=0)
+        entries = self._config["known"]["results"][0]["fleet"]["endpoints"]
+        for endpoint_type, endpoint_count in ((STANDARD, self._terms.endpoints), (PARENT, 2), (ORIGIN, 1)):
+            template = next(entry for entry in entries if entry["type"] == endpoint_type)
+            for _ in range(endpoint_count):
+                await self._add_endpoint(template, since_ms=0)
         self._log.events.clear()  # the list of the start
         self.history.records.clear()
 
-    async def _add_endpoint(self, like: dict[str, Any], since_ms: int) -> None:
-        name = f"{like['type']}-{next(self._names)}"
-        chance = Random(self._chance.random())
-        endpoint = Endpoint(name, like["type"], self.history, self._requests, chance)
+    async def _add_endpoint(self, template: dict[str, Any], since_ms: int) -> None:
+        name = f"{template['type']}-{next(self._endpoint_numbers)}"
+        random = Random(self._random.random())
+        endpoint = Endpoint(name, template["type"], self.history, self._requests, random)
         await endpoint.listen(self._tasks)
         self._endpoints[name] = endpoint
-        self._log.change({**like, "name": name, "address": endpoint.address, "since_ms": since_ms}, "active")
+        self._log.set_state(
+            {**template, "name": name, "address": endpoint.address, "since_ms": since_ms}, "active"
+        )
 
     async def _add_front(self, number: int) -> None:
-        address = self._reserve()
-        discovery = Discovery(number, self._log, self._reserve()[1])
+        address = self._reserve_address()
+        discovery = Discovery(number, self._log, self._reserve_address()[1])
         await discovery.listen(self._tasks)
-        front = Front(Target(number, address), discovery, self._log, self._config, self._folder,
+        front = FrontProcess(Target(number, address), discovery, self._log, self._config, self._folder,
                       self._command, self._environment)  # fmt: skip
         self._fronts.append(front)
         await front.start(front.write_config())
-        self._tasks.start_soon(front.watch)
+        self._tasks.start_soon(front.monitor)
 
-    def _reserve(self) -> tuple[str, int]:
+    def _reserve_address(self) -> tuple[str, int]:
         """Return a free address that nobody else is given while this soak runs, also where nobody listens."""
-        holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind(("127.0.0.1", 0))
-        self._reserved.append(holder)
-        host, port = holder.getsockname()
+        reserved = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind(("127.0.0.1", 0))
+        self._reserved_sockets.append(reserved)
+        host, port = reserved.getsockname()
         return host, port
 
     def _add_clients(self) -> None:
         grades = self._config["settings"]["grades"]
         classes = [RequestClass(grade["name"], float(grade["hardLimit"]) / 1000.0) for grade in grades]
-        serial = count(1)
+        request_numbers = count(1)
         for front in self._fronts:
             clients = [
                 Client(number, front.target, classes, self._terms.rate, self.history, self._requests,
-                       Random(self._chance.random()), serial)
+                       Random(self._random.random()), request_numbers)
                 for number in range(self._terms.clients)
             ]  # fmt: skip
             self._clients.append(clients)
@@ -195,106 +200,106 @@
 
     # What happens
 
-    async def _act(self, fault: Fault) -> None:
-        number = fault.target % len(self._fronts)
-        front = self._fronts[number]
+    async def _inject(self, fault: Fault) -> None:
+        front_number = fault.target % len(self._fronts)
+        front = self._fronts[front_number]
         match fault.kind:
             case Kind.DRAIN:
-                await self._drain(fault)
+                await self._drain_endpoint(fault)
             case Kind.PURGE:
                 self._log.purge(fault.target % 4)
-                self._acted(fault, "all", time.monotonic())
+                self._record_fault(fault, "all", time.monotonic())
             case Kind.RESTART | Kind.KILL | Kind.PAUSE:
-                await self._disturb(fault, front)
+                await self._disrupt_process(fault, front)
             case Kind.RELOAD:
-                for _ in range(RELOADS):
-                    if front.is_running and not front.is_busy:
+                for _ in range(RELOADS_PER_FAULT):
+                    if front.is_running and not front.has_active_fault:
                         front.signal(signal.SIGHUP)
-                        self._acted(fault, front.name, time.monotonic())
+                        self._record_fault(fault, front.name, time.monotonic())
                     await anyio.sleep(0.05)
             case Kind.DISCOVERY_SILENT:
-                if await front.discovery.silence(fault.lasts):
-                    self._acted(fault, front.name, time.monotonic())
+                if await front.discovery.stop_answering(fault.lasts):
+                    self._record_fault(fault, front.name, time.monotonic())
             case Kind.DISCOVERY_SLOW:
-                self._acted(fault, front.name, time.monotonic() + fault.lasts)
-                await front.discovery.slow(fault.strength * SLOWEST_DISCOVERY, fault.lasts)
+                self._record_fault(fault, front.name, time.monotonic() + fault.lasts)
+                await front.discovery.delay_answers(fault.strength * MAX_DISCOVERY_DELAY_S, fault.lasts)
             case Kind.DISCOVERY_DOWN:
-                self._acted(fault, front.name, time.monotonic() + fault.lasts)
-                await front.discovery.down(fault.lasts)
+                self._record_fault(fault, front.name, time.monotonic() + fault.lasts)
+                await front.discovery.take_down(fault.lasts)
             case Kind.CROWD:
-                await self._crowd(fault, front)
+                await self._hold_idle_connections(fault, front)
             case Kind.HANG:
-                endpoint = self._endpoint(fault.target)
+                endpoint = self._pick_endpoint(fault.target)
                 endpoint.hangs_until = time.monotonic() + fault.lasts
-                self._acted(fault, endpoint.name, endpoint.hangs_until)
+                self._record_fault(fault, endpoint.name, endpoint.hangs_until)
             case Kind.RESET:
-                endpoint = self._endpoint(fault.target)
+                endpoint = self._pick_endpoint(fault.target)
                 if await endpoint.reset():
-                    self._acted(fault, endpoint.name, time.monotonic())
+                    self._record_fault(fault, endpoint.name, time.monotonic())
             case Kind.LEAVE:
-                if sum(client.leave() for client in self._clients[number]):
-                    self._acted(fault, front.name, time.monotonic())
+                if sum(client.leave() for client in self._clients[front_number]):
+                    self._record_fault(fault, front.name, time.monotonic())
 
-    def _acted(self, fault: Fault, target: str, until: float) -> None:
+    def _record_fault(self, fault: Fault, target: str, until: float) -> None:
         self.history.add(Acted(time.monotonic(), fault.kind, target, until))
 
-    def _endpoint(self, number: int) -> Endpoint:
+    def _pick_endpoint(self, number: int) -> Endpoint:
         names = sorted(self._endpoints)
         return self._endpoints[names[number % len(names)]]
 
-    async def _drain(self, fault: Fault) -> None:
-        ready = [name for name, line in self._log.lines.items() if line["status"] == "active"]
-        names = [name for name in ready if self._log.lines[name]["type"] == STANDARD]
-        if len(names) <= LEAST_ENDPOINTS:
+    async def _drain_endpoint(self, fault: Fault) -> None:
+        ready_names = [name for name, entry in self._log.entries.items() if entry["status"] == "active"]
+        cache_names = [name for name in ready_names if self._log.entries[name]["type"] == STANDARD]
+        if len(cache_names) <= MIN_READY_ENDPOINTS:
             return
-        name = names[fault.target % len(names)]
-        line = dict(self._log.lines[name])
-        self._log.change(line, "leaving")
-        self._acted(fault, name, time.monotonic())
+        name = cache_names[fault.target % len(cache_names)]
+        entry = dict(self._log.entries[name])
+        self._log.set_state(entry, "leaving")
+        self._record_fault(fault, name, time.monotonic())
         await anyio.sleep(fault.lasts / 2)
-        await self._add_endpoint(line, since_ms=round(time.time() * 1000.0))
+        await self._add_endpoint(entry, since_ms=round(time.time() * 1000.0))
         await anyio.sleep(fault.lasts / 2)
-        self._log.change(line, "left")
-        await anyio.sleep(REMOVED_FOR)
+        self._log.set_state(entry, "left")
+        await anyio.sleep(REMOVED_LISTEN_S)
         del self._endpoints[name]
 
-    async def _disturb(self, fault: Fault, front: Front) -> None:
+    async def _disrupt_process(self, fault: Fault, front: FrontProcess) -> None:
         """Stop, end or kill a front's process, unless another fault does."""
-        if front.is_busy or not front.is_running:
+        if front.has_active_fault or not front.is_running:
             return
-        front.is_busy = True
+        front.has_active_fault = True
         if fault.kind is Kind.PAUSE:
-            began = time.monotonic()
+            began_at = time.monotonic()
             front.signal(signal.SIGSTOP)
             await anyio.sleep(fault.lasts)
             front.signal(signal.SIGCONT)
-            self.history.add(Acted(began, fault.kind, front.name, time.monotonic()))
+            self.history.add(Acted(began_at, fault.kind, front.name, time.monotonic()))
         else:
             base = front.write_config()
-            self._acted(fault, front.name, time.monotonic())
+            self._record_fault(fault, front.name, time.monotonic())
             await (front.kill() if fault.kind is Kind.KILL else front.terminate())
             await anyio.sleep(fault.lasts)
             await front.start(base)
-            with anyio.move_on_after(READY_WITHIN):
-                await _listens(front)
-        front.is_busy = False
+            with anyio.move_on_after(READY_TIMEOUT_S):
+                await _wait_until_listening(front)
+        front.has_active_fault = False
 
-    async def _crowd(self, fault: Fault, front: Front) -> None:
+    async def _hold_idle_connections(self, fault: Fault, front: FrontProcess) -> None:
         """Hold idle connections to a front for a while."""
         streams = []
-        for _ in range(int(fault.strength * CROWD)):
+        for _ in range(int(fault.strength * MAX_IDLE_CONNECTIONS)):
             try:
                 streams.append(await anyio.connect_tcp(*front.target.address))
             except OSError:
                 break
         if streams:
-            self._acted(fault, front.name, time.monotonic() + fault.lasts)
+            self._record_fault(fault, front.name, time.monotonic() + fault.lasts)
         await anyio.sleep(fault.lasts)
         for stream in streams:
             await anyio.aclose_forcefully(stream)
 
 
-async def _listens(front: Front) -> None:
+async def _wait_until_listening(front: FrontProcess) -> None:
     """Wait until a front takes connections."""
     while True:
         try:
@@ -304,30 +309,32 @@
             await anyio.sleep(0.02)
 
 
-def vary(config: dict[str, Any], seed: int, terms: SoakTerms) -> dict[str, Any]:
+def config_for_seed(config: dict[str, Any], seed: int, terms: SoakTerms) -> dict[str, Any]:
     """Return a seed's configuration: short deadlines, and on odd seeds a class that may run once only."""
     varied = deepcopy(config)
     grades = varied["settings"]["grades"]
-    longest = max(float(grade["hardLimit"]) for grade in grades)
+    longest_deadline = max(float(grade["hardLimit"]) for grade in grades)
     for grade in grades:
         for key in ("hardLimit", "aim"):
-            grade[key] = float(grade[key]) * min(1000.0 * terms.longest_deadline / longest, 1.0)
+            grade[key] = float(grade[key]) * min(1000.0 * terms.longest_deadline / longest_deadline, 1.0)
     if seed % 2:
         grades[0]["repeat"] = "at_most_once"
     return varied
 
 
-def limits_of(config: dict[str, Any]) -> Limits:
+def limits_from_config(config: dict[str, Any]) -> Limits:
     """Return what the rules go by under a configuration."""
     settings, limits = config["settings"], config["limits"]
     grades = settings["grades"]
     family = settings["familyInfo"]
-    fresh = family.get("goodFor", [])
+    max_copy_ages = family.get("goodFor", [])
     return Limits(
         drain_grace=float(settings["safety"].get("drainGrace", 500.0)) / 1000.0 + 0.05,
-        purge_takes=float(family.get("purgeTakes", 0.0)) / 1000.0,
+        purge_propagation=float(family.get("purgeTakes", 0.0)) / 1000.0,
         descriptors=int(limits.get("sockets", 1024)),
-        memory=float(limits.get("memory_mb", 192.0)),
-        fresh=tuple((grade["name"], age / 1000.0) for grade, age in zip(grades, fresh, strict=False)),
-        at_most_once=tuple(grade["name"] for grade in grades if grade["repeat"] == "at_most_once"),
+        memory_mb=float(limits.get("memory_mb", 192.0)),
+        max_copy_ages=tuple(
+            (grade["name"], age / 1000.0) for grade, age in zip(grades, max_copy_ages, strict=False)
+        ),
+        non_idempotent_classes=tuple(grade["name"] for grade in grades if grade["repeat"] == "at_most_once"),
     )
--- a/cometseam/soak/plan.py
+++ b/cometseam/soak/plan.py
@@ -24,19 +24,19 @@
 
 
 # How often a kind comes, against the others.
-WEIGHTS = {
+KIND_WEIGHTS = {
     Kind.DRAIN: 5.0, Kind.PURGE: 3.0, Kind.RESTART: 2.0, Kind.KILL: 3.0, Kind.PAUSE: 3.0, Kind.RELOAD: 1.0,
     Kind.DISCOVERY_SILENT: 2.0, Kind.DISCOVERY_SLOW: 2.0, Kind.DISCOVERY_DOWN: 1.5, Kind.CROWD: 1.0,
     Kind.HANG: 1.5, Kind.RESET: 2.0, Kind.LEAVE: 2.0,
 }  # fmt: skip
 # Shortest and longest duration in seconds, of kinds that last.
-LASTS = {
+DURATION_RANGES_S = {
     Kind.DRAIN: (1.0, 4.0), Kind.KILL: (0.1, 1.2), Kind.RESTART: (0.0, 0.5), Kind.PAUSE: (0.1, 2.5),
     Kind.DISCOVERY_SILENT: (0.5, 3.0), Kind.DISCOVERY_SLOW: (1.0, 4.0), Kind.DISCOVERY_DOWN: (0.2, 3.0),
     Kind.CROWD: (1.0, 3.0), Kind.HANG: (0.3, 2.0),
 }  # fmt: skip
-TOGETHER = 0.35  # share of faults that begin within `TOGETHER_WITHIN` of the one before
-TOGETHER_WITHIN = 0.6  # s
+OVERLAP_PROBABILITY = 0.35  # share of faults that begin within `TOGETHER_WITHIN` of the one before
+OVERLAP_WINDOW_S = 0.6  # s
 # What may come with a fault, to the same front: a drain under a stopped process, a start in slow discovery.
 COMPANIONS = {
     Kind.KILL: (Kind.DRAIN, Kind.DISCOVERY_SLOW, Kind.DISCOVERY_SILENT, Kind.DISCOVERY_DOWN, Kind.PURGE),
@@ -46,8 +46,8 @@
     Kind.DISCOVERY_SLOW: (Kind.DRAIN, Kind.PURGE),
     Kind.DRAIN: (Kind.RESET, Kind.RELOAD),
 }  # fmt: skip
-COMPANION = 0.6  # the chance of each
-COMPANION_WITHIN = 0.5  # s
+COMPANION_PROBABILITY = 0.6  # the chance of each
+COMPANION_WINDOW_S = 0.5  # s
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,22 +76,22 @@
 
 def draw(seed: int, terms: SoakTerms) -> tuple[Fault, ...]:
     """Return the faults of a seed, in order of time."""
-    chance = Random(seed)
+    random = Random(seed)
     faults: list[Fault] = []
     at = 0.5
     while at < terms.seconds:
-        kind = chance.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
-        shortest, longest = LASTS.get(kind, (0.0, 0.0))
-        target = chance.randrange(terms.fronts * terms.endpoints)
-        faults.append(Fault(at, kind, target, chance.uniform(shortest, longest), chance.random()))
+        kind = random.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))[0]
+        shortest, longest = DURATION_RANGES_S.get(kind, (0.0, 0.0))
+        target = random.randrange(terms.fronts * terms.endpoints)
+        faults.append(Fault(at, kind, target, random.uniform(shortest, longest), random.random()))
         for companion in COMPANIONS.get(kind, ()):
-            if chance.random() < COMPANION:
-                later = at + chance.uniform(0.0, COMPANION_WITHIN)
-                shortest, longest = LASTS.get(companion, (0.0, 0.0))
-                lasts = chance.uniform(shortest, longest)
-                faults.append(Fault(later, companion, target, lasts, chance.random()))
-        if chance.random() < TOGETHER:
-            at += chance.uniform(0.0, TOGETHER_WITHIN)
+            if random.random() < COMPANION_PROBABILITY:
+                companion_at = at + random.uniform(0.0, COMPANION_WINDOW_S)
+                shortest, longest = DURATION_RANGES_S.get(companion, (0.0, 0.0))
+                duration = random.uniform(shortest, longest)
+                faults.append(Fault(companion_at, companion, target, duration, random.random()))
+        if random.random() < OVERLAP_PROBABILITY:
+            at += random.uniform(0.0, OVERLAP_WINDOW_S)
         else:
-            at += chance.expovariate(terms.faults_per_second)
+            at += random.expovariate(terms.faults_per_second)
     return tuple(sorted(faults, key=lambda fault: fault.at))
--- a/cometseam/soak/process.py
+++ b/cometseam/soak/process.py
@@ -16,12 +16,12 @@
 from cometseam.soak.discovery import Discovery, EventLog
 from cometseam.soak.history import Ended, History, Sampled, Started
 
-EARLIEST_KILL = 0.7  # s past the longest deadline, after SIGTERM
-LONGEST_DEADLINE = 3.0  # s that count of it
-SAMPLE_EVERY = 0.25  # s
+KILL_DELAY_S = 0.7  # s past the longest deadline, after SIGTERM
+MAX_COUNTED_DEADLINE_S = 3.0  # s that count of it
+SAMPLE_INTERVAL_S = 0.25  # s
 
 
-class Front:
+class FrontProcess:
     """A front's process over its lives."""
 
     def __init__(
@@ -30,14 +30,14 @@
     ) -> None:  # fmt: skip
         self.target, self.discovery = target, discovery
         self.is_running = False
-        self.is_busy = False  # a fault has it in hand
+        self.has_active_fault = False  # a fault has it in hand
         self._log, self._config = log, deepcopy(config)
         self._path = folder / f"front-{target.number}.json"
-        self._output = folder / f"front-{target.number}.log"
-        self._output.unlink(missing_ok=True)
+        self._log_path = folder / f"front-{target.number}.log"
+        self._log_path.unlink(missing_ok=True)
         self._command, self._environment = command, dict(environment)
         self._process: Process
-        self._asked_at = 0.0
+        self._sigterm_at = 0.0
 
     @property
     def name(self) -> str:
@@ -54,15 +54,15 @@
         host, port = self.target.address
         self._config.update(name=self.name, listen=f"{host}:{port}")
         self._config["changelog"] = f"127.0.0.1:{self.discovery.port}"
-        self._config["known"] = {"seq": 1, "results": self._log.whole()}
+        self._config["known"] = {"seq": 1, "results": self._log.full_list()}
         self._path.write_text(json.dumps(self._config))
         return len(self._log.events)
 
     async def start(self, base: int) -> None:
         """Start it with the configuration as it was written, at the event `base`."""
         self.target.life += 1
-        self.discovery.life, self.discovery.base, self._asked_at = self.target.life, base, 0.0
-        with self._output.open("ab") as output:
+        self.discovery.life, self.discovery.base, self._sigterm_at = self.target.life, base, 0.0
+        with self._log_path.open("ab") as output:
             self._process = await anyio.open_process(
                 self._command, stdin=DEVNULL, stdout=output, stderr=output,
                 env={**self._environment, "ROUTER_CONFIG": str(self._path)},
@@ -83,33 +83,33 @@
         """End it by SIGKILL."""
         self.is_running = False
         self.signal(signal.SIGKILL)
-        await self._wait(killed=True)
+        await self._record_end(killed=True)
 
     async def terminate(self) -> None:
         """End it by SIGTERM, and by SIGKILL at the page's earliest."""
         self.is_running = False
-        self._asked_at = time.monotonic()
+        self._sigterm_at = time.monotonic()
         self.signal(signal.SIGTERM)
-        with anyio.move_on_after(min(self.longest_deadline, LONGEST_DEADLINE) + EARLIEST_KILL) as scope:
+        with anyio.move_on_after(min(self.longest_deadline, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S) as scope:
             await self._process.wait()
         if scope.cancelled_caught:
             self.signal(signal.SIGKILL)
-        await self._wait(killed=scope.cancelled_caught)
+        await self._record_end(killed=scope.cancelled_caught)
 
-    async def _wait(self, killed: bool) -> None:
+    async def _record_end(self, killed: bool) -> None:
         status = await self._process.wait()
         target, now = self.target, time.monotonic()
-        self._history.add(Ended(now, target.number, target.life, status, self._asked_at, killed))
+        self._history.add(Ended(now, target.number, target.life, status, self._sigterm_at, killed))
 
-    async def watch(self) -> None:
+    async def monitor(self) -> None:
         """Sample what it holds, and record an end that nobody asked for, until cancelled."""
         while True:
-            await anyio.sleep(SAMPLE_EVERY)
+            await anyio.sleep(SAMPLE_INTERVAL_S)
             if not self.is_running:
                 continue
             if self._process.returncode is not None:
                 self.is_running = False
-                await self._wait(killed=False)
+                await self._record_end(killed=False)
                 continue
             try:
                 folder = Path(f"/proc/{self._process.pid}")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -110,7 +110,7 @@
 
 def broken(*records: Record) -> set[Rule]:
     """Which rules a history breaks."""
-    limits = Limits(fresh=(("maps", 20.0),), at_most_once=("maps",), descriptors=50)
+    limits = Limits(max_copy_ages=(("maps", 20.0),), non_idempotent_classes=("maps",), descriptors=50)
     found = check(History([STARTED, *records]), limits)
     return {violation.rule for violation in found}
 
@@ -173,7 +173,7 @@
     assert answered(purge, told, arrived(AT, oldest=1.2)) == {Rule.PURGE}
     assert answered(Changed(9.0, 1, purged_group=2), told, arrived(AT)) == set()
     assert answered(Changed(3.0, 1, purged_group=3), Polled(2.9, 0, 1, 3.1, 3.1, 1), arrived(AT)) == set()
-    limits = Limits(fresh=(("maps", 20.0),))
+    limits = Limits(max_copy_ages=(("maps", 20.0),))
     later = History([Started(9.5, 0, 1, 1), ASKED, Replied(11.0, "a", 1), purge, arrived(AT)])
     assert check(later, limits) == []
 
