--- a/cometseam/soak/__init__.py
+++ b/cometseam/soak/__init__.py
@@ -1,6 +1,8 @@
-"""A seeded soak: real fronts among stand-ins, faults that overlap, one history, and a checker of the rules.
+"""Seeded soak test: runs real front processes against simulated peers and injects overlapping faults.
 
-`plan` and `checker` decide without I/O; `engine` runs one seed. Serving imports none of it.
+Everything observed goes into one history, and a checker verifies the rules of the service on it. `plan` and
+`checker` do no I/O; `engine` runs one seed. The serving code imports none of this package. In histories and
+rules a request is what a client sends, and an attempt is one relay of it to an endpoint.
 """
 
 from cometseam.soak.checker import Rule, Violation, check
--- a/cometseam/soak/checker.py
+++ b/cometseam/soak/checker.py
@@ -1,4 +1,4 @@
-"""Judges a whole history by the rules of the service. No I/O; times are seconds of one monotonic clock."""
+"""Checks a whole history against the rules of the service. No I/O; times are seconds of one clock."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -24,49 +24,47 @@
 
 
 class Rule(StrEnum):
-    """What a front owes."""
+    """A rule that every front must keep."""
 
-    ANSWERED = "answered"  # each request has its final answer in time
+    ANSWERED = "answered"  # each request gets its final answer in time
     ANSWERED_ONCE = "answered once"
     ONE_ATTEMPT = "one attempt at a time"
     ONE_EFFECT = "no effect twice"
-    DRAIN = "drain"  # nothing to a draining or removed endpoint after the grace
-    PURGE = "purge"  # no answer older than a purge after the grace
-    CLIENT_GONE = "client gone"  # no attempt begins 0.1 s after its client has left
-    TIME_LEFT = "time left"  # an endpoint is told no more time than the client has
-    PROCESS = "process"  # no crash, no end that nobody asked for
+    DRAIN = "drain"  # nothing is sent to a draining or removed endpoint after the grace period
+    PURGE = "purge"  # no copy from before a purge is accepted after the grace period
+    CLIENT_GONE = "client gone"  # no attempt begins more than 0.1 s after its client disconnected
+    TIME_LEFT = "time left"  # an endpoint is given no more time than the client has left
+    PROCESS = "process"  # no crash, and no exit without a signal to end
     RESOURCES = "resources"  # descriptors and memory within their limits
 
 
-RESUME_WRITE_WINDOW_S = 0.02  # s after a process goes on in which what it was writing is written
+RESUME_WRITE_WINDOW_S = 0.02  # after a stopped process resumes, to finish a write that it had decided on
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the rules go by; seconds, but for counts and MB."""
+    """Tolerances and limits of the rules; seconds unless the name or the rule says otherwise."""
 
     drain_grace: float = 0.55
-    max_notification_delay: float = (
-        7.0  # after an event, when it counts as known however little discovery has told
-    )
-    answer_allowance: float = 0.5  # past a request's time, until when an answer only earns nothing
+    max_notification_delay: float = 7.0  # after an event: it then counts as known even without an answer
+    answer_allowance: float = 0.5  # past the deadline: an answer by then has no value but breaks no rule
     connection_end_allowance: float = (
-        0.05  # a request that crosses its connection's end within this is sent again
+        0.05  # no answer is due for a request sent this shortly before its connection ends
     )
-    timing_tolerance: float = 0.05
+    tolerance: float = 0.05
     client_gone_grace: float = 0.1
-    purge_propagation: float = 6.0  # after a purge endpoints have dropped what it names
+    purge_propagation: float = 6.0  # after a purge, until all endpoints have dropped what it names
     time_left_tolerance: float = 0.15
     descriptors: int = 1024
     memory_mb: float = 192.0
-    # By request class: how old a copy may be; classes of which no request may run twice.
+    # Request classes with the maximum age of a copy, and those of which no request may run twice.
     max_copy_ages: tuple[tuple[str, float], ...] = ()
     non_idempotent_classes: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken: when, and what was seen."""
+    """A broken rule: when it was broken and what was observed."""
 
     rule: Rule
     at: float
@@ -75,13 +73,13 @@
     front: int = -1
 
     def is_just_after(self, pause: Acted) -> bool:
-        """Tell whether it is an attempt written just after a front's process went on."""
+        """Return whether this is an attempt written just after the stopped process of its front resumed."""
         is_within_window = 0.0 <= self.at - pause.until <= RESUME_WRITE_WINDOW_S
         return is_within_window and bool(self.request) and pause.target == f"front-{self.front}"
 
 
 def check(history: History, limits: Limits) -> list[Violation]:
-    """Return all that is wrong with a history, by time."""
+    """Return all violations in a history, ordered by time."""
     index = _HistoryIndex(history, limits)
     violations = [
         *_answer_violations(index),
@@ -94,7 +92,7 @@
 
 
 class _HistoryIndex:
-    """A history by what the checks look up."""
+    """A history, indexed by what the checks look up."""
 
     def __init__(self, history: History, limits: Limits) -> None:
         self.history, self.limits = history, limits
@@ -114,11 +112,11 @@
             self.polls[poll.front, poll.life].append(poll)
 
     def lag_at(self, at: float) -> float:
-        """Return by how much what was read at a time may have come sooner, for the soak's own lateness."""
+        """Return by how much a read at `at` may have come too late, because the soak itself ran late."""
         return max((each.by for each in self.lags if each.at - each.by <= at <= each.at + 0.02), default=0.0)
 
     def paused_duration(self, front: int, since: float, until: float) -> float:
-        """Return for how long a front's process was stopped between two times."""
+        """Return how long a front's process was stopped between two times."""
         name = f"front-{front}"
         spans = (min(each.until, until) - max(each.at, since) for each in self.pauses if each.target == name)
         return sum(max(span, 0.0) for span in spans)
@@ -126,8 +124,8 @@
     def notified_at(self, event: Changed, front: int, life: int) -> float:
         """Return when a front counts as notified of an event.
 
-        That is the first answer with it that was written whole; when it would have been told, had it asked;
-        or the bound past which every event counts as known.
+        That is the earliest of three times: when the first answer with the event was written completely, when
+        a front that polls without delay would have received it, and the bound after which it counts as known.
         """
         key = (event.number, front, life)
         if key not in self.notification_times:
@@ -139,7 +137,7 @@
         return self.notification_times[key]
 
     def is_after_start_list(self, event: Changed, attempt: Arrived) -> bool:
-        """Tell whether an event came after the list that the attempt's front was started with."""
+        """Return whether an event is newer than the list that the attempt's front was started with."""
         return event.number > self.process_starts[attempt.front, attempt.life].base
 
     def _first_answer_at(self, event: Changed, front: int, life: int) -> float:
@@ -150,12 +148,13 @@
     def _earliest_poll_answer_at(self, event: Changed, front: int, life: int) -> float:
         started = self.process_starts[front, life]
         troubles = [each for each in self.history.of(DiscoveryTrouble) if each.front == front]
-        # A poll that follows at once, on a connection that may prove silent, has asked as well.
-        tolerance = self.limits.timing_tolerance
+        # A poll that follows at once, even on a connection that is never answered, counts as a poll as well.
+        tolerance = self.limits.tolerance
         polls, outages = self.polls[front, life], [each for each in troubles if not each.delay]
         unavailable = [(each.asked_at - tolerance, each.answered_at or each.ended_at) for each in polls]
         unavailable += [(each.at, each.until) for each in outages]
-        # An outage that comes while a process starts takes away what it would have been told before.
+        # An outage during the start of a process, before its first answer, counts from the start on: it takes
+        # away what the front would have received earlier.
         first_answer_at = min((each.answered_at for each in polls if each.answered_at), default=float("inf"))
         unavailable += [
             (started.at, each.until) for each in outages if started.at <= each.at < first_answer_at
@@ -169,10 +168,10 @@
 
 
 def _without_paused_writes(index: _HistoryIndex, violations: list[Violation]) -> Iterator[Violation]:
-    """Leave out one attempt a stop of a process: one that stopped it between its last look and the write.
+    """Leave out one attempt per pause of a process, caught between the last check of its state and the write.
 
-    No process can look and write in one step; where a second attempt is wrong after the same stop, the front
-    has gone on without a look, and all of them count.
+    No process can check and write in one step. Where attempts of a second request are wrong after the same
+    pause, the front has resumed without a new check, and all of them count.
     """
     by_pause: defaultdict[Acted, list[Violation]] = defaultdict(list)
     for violation in violations:
@@ -191,8 +190,8 @@
     for request in index.requests.values():
         replies = index.replies[request.request]
         if len(replies) > 1:
-            description = f"{request.request} has {len(replies)} answers"
-            yield Violation(Rule.ANSWERED_ONCE, replies[1].at, description)
+            message = f"{request.request} has {len(replies)} answers"
+            yield Violation(Rule.ANSWERED_ONCE, replies[1].at, message)
         due = request.at + request.limit + limits.answer_allowance
         due += index.paused_duration(request.front, request.at, due + 10.0) + (
             index.lag_at(due) if not replies else 0.0
@@ -216,14 +215,14 @@
         return ""
     ended = index.process_ends.get((request.front, request.life))
     if ended is not None and ended.killed and not ended.asked_at and ended.at < due:
-        return ""  # by SIGKILL that nobody announced
+        return ""  # ended by SIGKILL without a preceding SIGTERM
     if (
         abandoned is not None
         and abandoned.at - index.lag_at(abandoned.at) - request.at <= index.limits.connection_end_allowance
     ):
         return ""
     if abandoned is not None:
-        return f"its connection ended {abandoned.at - request.at:.3f} s after it, with no answer"
+        return f"its connection ended {abandoned.at - request.at:.3f} s after the request, with no answer"
     return "never answered"
 
 
@@ -245,38 +244,36 @@
             began_at = attempt.first_at - index.lag_at(attempt.first_at)
             client_time_left = request.at + request.limit - began_at
             if attempt.time_left > client_time_left + limits.time_left_tolerance:
-                description = (
-                    f"{request_id}: {attempt.time_left:.3f} s told, the client has {client_time_left:.3f} s"
+                message = (
+                    f"{request_id}: {attempt.time_left:.3f} s given, the client has {client_time_left:.3f} s"
                 )
-                yield Violation(Rule.TIME_LEFT, attempt.first_at, description, request_id, attempt.front)
+                yield Violation(Rule.TIME_LEFT, attempt.first_at, message, request_id, attempt.front)
             if (
                 abandoned is not None
                 and abandoned.by_client
-                and began_at > abandoned.at + limits.client_gone_grace + limits.timing_tolerance
+                and began_at > abandoned.at + limits.client_gone_grace + limits.tolerance
             ):
-                description = (
-                    f"{request_id}: an attempt {began_at - abandoned.at:.3f} s after its client left"
-                )
-                yield Violation(Rule.CLIENT_GONE, attempt.first_at, description, request_id, attempt.front)
+                message = f"{request_id}: an attempt {began_at - abandoned.at:.3f} s after its client left"
+                yield Violation(Rule.CLIENT_GONE, attempt.first_at, message, request_id, attempt.front)
             for earlier in attempts[:attempt_index]:
                 ends_after = (
                     each for each in attempt_ends[request_id, earlier.endpoint] if each.at >= earlier.at
                 )
                 finished = next(ends_after, None)
-                if finished is None or finished.at > attempt.at + limits.timing_tolerance + index.lag_at(
+                if finished is None or finished.at > attempt.at + limits.tolerance + index.lag_at(
                     finished.at
                 ):
-                    description = (
-                        f"{request_id}: at {attempt.endpoint} while one at {earlier.endpoint} is out"
+                    message = (
+                        f"{request_id}: at {attempt.endpoint} while one at {earlier.endpoint} is in flight"
                     )
-                    yield Violation(Rule.ONE_ATTEMPT, began_at, description)
+                    yield Violation(Rule.ONE_ATTEMPT, began_at, message)
                 elif (
                     finished.word not in NEVER_RAN and request.request_class in limits.non_idempotent_classes
                 ):
-                    description = (
+                    message = (
                         f"{request_id}: at {attempt.endpoint} after {finished.word} from {earlier.endpoint}"
                     )
-                    yield Violation(Rule.ONE_EFFECT, began_at, description)
+                    yield Violation(Rule.ONE_EFFECT, began_at, message)
 
 
 NEVER_RAN = ("LACK", "WAIT", "PAST")
@@ -293,11 +290,9 @@
             delay = attempt.first_at - index.lag_at(attempt.first_at)
             delay -= index.notified_at(event, attempt.front, attempt.life)
             if delay > index.limits.drain_grace:
-                description = (
-                    f"{attempt.request} of front-{attempt.front} (life {attempt.life}) to {endpoint}, "
-                )
-                description += f"{delay:.3f} s after the front was notified"
-                yield Violation(Rule.DRAIN, attempt.first_at, description, attempt.request, attempt.front)
+                message = f"{attempt.request} of front-{attempt.front} (life {attempt.life}) to {endpoint}, "
+                message += f"{delay:.3f} s after the front was notified"
+                yield Violation(Rule.DRAIN, attempt.first_at, message, attempt.request, attempt.front)
 
 
 def _purge_violations(index: _HistoryIndex) -> Iterator[Violation]:
@@ -318,21 +313,21 @@
                 continue
             delay = began_at - index.notified_at(purge, attempt.front, attempt.life)
             purge_age = attempt.first_at - purge.at
-            if delay > index.limits.drain_grace and max_age > purge_age + 2.0 * index.limits.timing_tolerance:
-                description = (
+            if delay > index.limits.drain_grace and max_age > purge_age + 2.0 * index.limits.tolerance:
+                message = (
                     f"{attempt.request}: copies of {max_age:.3f} s allowed {purge_age:.3f} s after a purge"
                 )
-                yield Violation(Rule.PURGE, attempt.first_at, description, attempt.request, attempt.front)
+                yield Violation(Rule.PURGE, attempt.first_at, message, attempt.request, attempt.front)
 
 
 def _process_violations(index: _HistoryIndex) -> Iterator[Violation]:
     for process_end in index.process_ends.values():
         if not process_end.killed and (process_end.status != 0 or not process_end.asked_at):
-            description = (
+            message = (
                 f"front-{process_end.front} (life {process_end.life}) ended with status {process_end.status}"
             )
-            yield Violation(Rule.PROCESS, process_end.at, description)
+            yield Violation(Rule.PROCESS, process_end.at, message)
     for sample in index.history.of(Sampled):
         if sample.descriptors > index.limits.descriptors or sample.memory > index.limits.memory_mb:
-            description = f"front-{sample.front}: {sample.descriptors} descriptors, {sample.memory:.0f} MB"
-            yield Violation(Rule.RESOURCES, sample.at, description)
+            message = f"front-{sample.front}: {sample.descriptors} descriptors, {sample.memory:.0f} MB"
+            yield Violation(Rule.RESOURCES, sample.at, message)
--- a/cometseam/soak/clients.py
+++ b/cometseam/soak/clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for clients: they ask at a rate, on connections that they use until these end."""
+"""Simulated clients: each sends requests at a mean rate, on one connection after the other."""
 
 import struct
 import time
@@ -15,7 +15,7 @@
 from cometseam.soak.endpoints import CONNECTION_ERRORS
 from cometseam.soak.history import Abandoned, History, Replied, Requested
 
-RETRY_INTERVAL_S = 0.05  # s from the end of a connection to the next
+RETRY_INTERVAL_S = 0.05  # before connecting again, and between checks for open requests
 MAX_OPEN_STREAMS = 30
 GROUP_COUNT = 4
 OBJECT_COUNT = 400
@@ -23,7 +23,7 @@
 
 @dataclass
 class Target:
-    """A front as clients see it."""
+    """A front as clients see it; `life` counts the starts of its process."""
 
     number: int
     address: tuple[str, int]
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What clients ask for: the class by its wire name, and how long they wait (s)."""
+    """A request class: its name on the wire, and the longest that clients wait for an answer (s)."""
 
     name: str
     limit: float
 
 
 class Client:
-    """One client of one front; every other one goes on sending although it is asked to send no more."""
+    """One client of one front; every second one keeps sending after the front's NO_MORE."""
 
     def __init__(
         self, number: int, target: Target, classes: list[RequestClass], rate: float, history: History,
@@ -54,20 +54,20 @@
             request_numbers,
         )
         self._open_requests: dict[int, str] = {}
-        self._request_ids: dict[int, str] = {}  # of all streams of the connection
+        self._request_ids: dict[int, str] = {}  # by stream, also of answered ones
         self._may_send = True
         self._leave_event = anyio.Event()
         self._stream: SocketStream | None = None
 
     async def run(self) -> None:
-        """Ask until cancelled, over one connection after the other."""
+        """Send requests until cancelled, over one connection after the other."""
         while True:
             with suppress(*CONNECTION_ERRORS):
                 await self._connect()
             await anyio.sleep(RETRY_INTERVAL_S)
 
     def leave(self) -> int:
-        """Close the connection with requests open on it; return how many there were."""
+        """Close the connection with its requests open; return how many there are."""
         open_count = len(self._open_requests)
         self._leave_event.set()
         return open_count
--- a/cometseam/soak/discovery.py
+++ b/cometseam/soak/discovery.py
@@ -1,6 +1,6 @@
-"""Stand-ins for discovery: one log of events for all fronts, and a long poll for each front.
+"""Simulated discovery: one event log for all fronts, and a long-poll server for each front.
 
-A front's numbers begin anew with each start: 1 is the list of its configuration.
+A front's event numbers begin anew with each start: 1 is the endpoint list of its configuration.
 """
 
 import json
@@ -15,12 +15,12 @@
 from cometseam.soak.endpoints import CONNECTION_ERRORS, reset_connection
 from cometseam.soak.history import Changed, DiscoveryTrouble, History, Polled
 
-MAX_HEAD_BYTES = 4096  # bytes of a poll's head at most
+MAX_HEAD_BYTES = 4096  # of a poll's request line and headers
 
 
 @dataclass
 class EventLog:
-    """All events since the soak began, numbered from 1, and the list of endpoints as it is now."""
+    """All events since the soak began, numbered from 1, and the current endpoint list."""
 
     history: History
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -28,7 +28,7 @@
     event_added: anyio.Event = field(default_factory=anyio.Event)
 
     def set_state(self, entry: dict[str, Any], state: str) -> None:
-        """Have an endpoint, given by its line in the list, be in another state."""
+        """Put an endpoint, given by its entry, into a state; `left` removes it from the list."""
         name, entry = entry["name"], {**entry, "status": state}
         if state == "left":
             self.entries.pop(name, None)
@@ -37,12 +37,12 @@
         self._add({"fleet": {"snapshot": False, "endpoints": [entry]}}, endpoint=name, state=state)
 
     def purge(self, group: int) -> None:
-        """Purge a group of objects now."""
+        """Add the purge of a group of objects, as of now."""
         event = {"invalidate": {"bucket": group, "time": round(time.time() * 1000.0)}}
         self._add(event, purged_group=group)
 
     def full_list(self) -> list[dict[str, Any]]:
-        """Return the list of endpoints, for a configuration."""
+        """Return the current endpoint list, in the form of a front's configuration."""
         listing = {"index": 1, "snapshot": True, "endpoints": list(self.entries.values())}
         return [{"seq": 1, "fleet": listing}]
 
@@ -54,7 +54,7 @@
 
 
 class Discovery:
-    """What one front polls."""
+    """The discovery server that one front polls."""
 
     def __init__(self, front: int, log: EventLog, port: int) -> None:
         self.front, self.life, self.base, self.port = front, 0, 0, port
@@ -64,31 +64,31 @@
         self._streams: set[SocketStream] = set()
         self._unanswered_streams: set[SocketStream] = set()
         self._listener_scope: anyio.CancelScope | None = None
-        self._outages = 0  # faults that keep it down
+        self._outages = 0  # overlapping faults that keep it down
 
     async def listen(self, tasks: TaskGroup) -> None:
-        """Listen at its port of the loopback address."""
+        """Listen on its port of the loopback address."""
         self._tasks = tasks
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port)
         self._listener_scope = anyio.CancelScope()
         tasks.start_soon(self._accept, listener, self._listener_scope)
 
     async def stop_answering(self, duration: float) -> int:
-        """Answer nothing more on the connections that there are; return how many."""
+        """Stop answering on the open connections, for as long as they last; return how many there are."""
         self._unanswered_streams |= self._streams
         return len(self._streams)
 
     async def delay_answers(self, delay: float, duration: float) -> None:
-        """Write each answer late for a while."""
+        """Delay each answer by `delay` seconds for `duration` seconds."""
         began_at = time.monotonic()
         self.delay = delay
         await anyio.sleep(duration)
         self.delay = 0.0
-        until = time.monotonic() + delay  # answers begun before are late as well
+        until = time.monotonic() + delay  # answers begun before the end are late as well
         self._log.history.add(DiscoveryTrouble(began_at, until, self.front, delay))
 
     async def take_down(self, duration: float) -> None:
-        """Reset all connections and refuse new ones for a while."""
+        """Reset all connections and refuse new ones for `duration` seconds."""
         began_at = time.monotonic()
         self._outages += 1
         if self._listener_scope is not None:
@@ -149,7 +149,7 @@
             )
 
     async def _wait_until_closed(self, reader: BufferedByteReceiveStream) -> None:
-        """Wait until the front has closed a connection; ends with what `receive` raises."""
+        """Read until the front closes the connection; it ends with the exception that `receive` raises."""
         while True:
             await reader.receive()
 
--- a/cometseam/soak/endpoints.py
+++ b/cometseam/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Stand-ins for endpoints: they answer what they are asked, hang or reset as told, and record what came."""
+"""Simulated endpoints: they answer attempts, hang or reset connections on demand, record arrivals."""
 
 import socket
 import struct
@@ -19,9 +19,9 @@
     anyio.DelimiterNotFound, OSError,
 )  # fmt: skip
 COPY_TAG = "4be0c1927d55a6f3"
-MAX_LINE_BYTES = 64  # bytes of a length's line at most
-WORK_RANGE_S = (0.002, 0.04)  # s that an attempt takes, at least and at most
-WRITE_TIMEOUT_S = 1.0  # s
+MAX_LINE_BYTES = 64  # of a line that holds a length
+WORK_RANGE_S = (0.002, 0.04)  # minimum and maximum time that an attempt takes
+WRITE_TIMEOUT_S = 1.0
 # Shares of all attempts.
 MISS_SHARE = 0.3  # of cache lookups only
 REJECT_SHARE = 0.02
@@ -29,7 +29,7 @@
 
 
 class Endpoint:
-    """One cache, parent or origin."""
+    """A simulated cache, parent or origin."""
 
     def __init__(
         self, name: str, kind: str, history: History, requests: dict[str, Requested], random: Random
@@ -38,11 +38,11 @@
         self.address = ""
         self.hangs_until = 0.0
         self._history, self._requests, self._random = history, requests, random
-        self._write_locks: dict[SocketStream, anyio.Lock] = {}  # and who writes to each now
+        self._write_locks: dict[SocketStream, anyio.Lock] = {}  # open connections
         self._in_flight: dict[tuple[int, str], anyio.CancelScope] = {}
 
     async def listen(self, tasks: TaskGroup) -> None:
-        """Listen at a free port of the loopback address, until the task group ends."""
+        """Listen on a free port of the loopback address until the task group ends."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.address = f"127.0.0.1:{listener.extra(SocketAttribute.local_port)}"
         tasks.start_soon(listener.serve, self._serve)
@@ -133,7 +133,7 @@
 
 
 async def reset_connection(stream: SocketStream) -> None:
-    """Reset a connection: what lies unread at either side is lost."""
+    """Reset a connection; data unread on either side is lost."""
     zero_linger = struct.pack("ii", 1, 0)
     with suppress(*CONNECTION_ERRORS, anyio.ClosedResourceError):
         stream.extra(SocketAttribute.raw_socket).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
@@ -141,7 +141,7 @@
 
 
 async def _read_command(reader: BufferedByteReceiveStream) -> tuple[list[bytes], float]:
-    """Read one command; return its parts, and when its first bytes were read."""
+    """Read one command; return its parts, and the time at which its first byte was read."""
     first_byte = await reader.receive_exactly(1)
     first_at = time.monotonic()
     part_count = int((first_byte + await reader.receive_until(b"\r\n", MAX_LINE_BYTES))[1:])
--- a/cometseam/soak/engine.py
+++ b/cometseam/soak/engine.py
@@ -1,4 +1,4 @@
-"""Runs one seed: fronts, endpoints, discovery and clients on loopback, and the faults of the plan."""
+"""Runs one seed: fronts, endpoints, discovery and clients on loopback, with the faults of the plan."""
 
 import os
 import signal
@@ -25,14 +25,14 @@
 from cometseam.soak.plan import Fault, Kind, SoakTerms, draw
 from cometseam.soak.process import FrontProcess
 
-READY_TIMEOUT_S = 20.0  # s
-SETTLE_S = 1.5  # s after the last fault
-LAG_THRESHOLD_S = 0.01  # s
-MIN_READY_ENDPOINTS = 2  # that stay ready
-REMOVED_LISTEN_S = 1.5  # s for which a removed endpoint still listens
+READY_TIMEOUT_S = 20.0
+SETTLE_S = 1.5  # after the last fault
+LAG_THRESHOLD_S = 0.01  # the event loop's delay above which a record of it is kept
+MIN_READY_ENDPOINTS = 2  # caches that drain faults leave ready
+REMOVED_LISTEN_S = 1.5  # a removed endpoint listens on, so that attempts sent to it are seen
 RELOADS_PER_FAULT = 3
-MAX_IDLE_CONNECTIONS = 200  # idle connections at most
-MAX_DISCOVERY_DELAY_S = 1.0  # s
+MAX_IDLE_CONNECTIONS = 200
+MAX_DISCOVERY_DELAY_S = 1.0
 # Endpoint types as the configuration writes them.
 STANDARD = "standard"
 PARENT = "parent"
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a seed has shown."""
+    """The result of one seed."""
 
     seed: int
     violations: list[Violation]
-    acted: Counter[str]  # faults by kind
+    acted: Counter[str]  # injected faults by kind
     codes: Counter[int]  # answers by code
-    lag: float  # s, the soak's own longest
+    lag: float  # s, maximum delay of the soak process itself
     timeline: Path
 
 
@@ -55,15 +55,15 @@
     seed: int, terms: SoakTerms, config: dict[str, Any], folder: Path,
     command: list[str] | None = None, environment: Mapping[str, str] | None = None,
 ) -> Outcome:  # fmt: skip
-    """Run a seed to its end and judge its history.
+    """Run a seed to its end and check its history.
 
     Args:
-        seed: what the faults, clients and answers are drawn from.
-        terms: how large it is.
-        config: a front's configuration; its endpoints become stand-ins (`vary` says what else).
-        folder: where configurations, logs and the timeline go.
-        command: what starts a front; this program where there is none.
-        environment: what is added to a front's environment.
+        seed: source of the faults, the clients' requests and the endpoints' answers.
+        terms: size of the run.
+        config: a front's configuration, with simulated endpoints in place of its own (see `config_for_seed`).
+        folder: directory for configurations, logs and the timeline.
+        command: command that starts a front; this program by default.
+        environment: variables that are added to a front's environment.
     """
     folder.mkdir(parents=True, exist_ok=True)
     command = command or [sys.executable, "-m", "cometseam"]
@@ -79,7 +79,7 @@
 
 
 class Soak:
-    """One seed's run."""
+    """The run of one seed."""
 
     def __init__(
         self, seed: int, terms: SoakTerms, config: dict[str, Any], folder: Path, command: list[str],
@@ -100,12 +100,12 @@
         self._tasks: TaskGroup
 
     def close(self) -> None:
-        """Give back the addresses."""
+        """Release the reserved addresses."""
         for reserved in self._reserved_sockets:
             reserved.close()
 
     def outcome(self, timeline: Path) -> Outcome:
-        """Judge the history."""
+        """Check the history and summarise it."""
         from cometseam.soak.history import Replied
 
         limits = limits_from_config(self._config)
@@ -115,7 +115,7 @@
         return Outcome(self._seed, check(self.history, limits), acted, codes, lag, timeline)
 
     async def run(self) -> None:
-        """Run from the start of the fronts to their end."""
+        """Start the fronts, inject the faults, and stop the fronts."""
         async with anyio.create_task_group() as self._tasks:
             self._tasks.start_soon(self._measure_lag)
             await self._add_endpoints()
@@ -144,7 +144,7 @@
             if lag > LAG_THRESHOLD_S:
                 self.history.add(Lagged(time.monotonic(), lag))
 
-    # What there is
+    # Setup
 
     async def _add_endpoints(self) -> None:
         entries = self._config["known"]["results"][0]["fleet"]["endpoints"]
@@ -152,7 +152,7 @@
             template = next(entry for entry in entries if entry["type"] == endpoint_type)
             for _ in range(endpoint_count):
                 await self._add_endpoint(template, since_ms=0)
-        self._log.events.clear()  # the list of the start
+        self._log.events.clear()  # the fronts have these endpoints in the list that they start with
         self.history.records.clear()
 
     async def _add_endpoint(self, template: dict[str, Any], since_ms: int) -> None:
@@ -176,7 +176,7 @@
         self._tasks.start_soon(front.monitor)
 
     def _reserve_address(self) -> tuple[str, int]:
-        """Return a free address that nobody else is given while this soak runs, also where nobody listens."""
+        """Return a free address, bound to a socket so that nobody else gets it while this soak runs."""
         reserved = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         reserved.bind(("127.0.0.1", 0))
@@ -198,7 +198,7 @@
             for client in clients:
                 self._tasks.start_soon(client.run)
 
-    # What happens
+    # Faults
 
     async def _inject(self, fault: Fault) -> None:
         front_number = fault.target % len(self._fronts)
@@ -264,7 +264,7 @@
         del self._endpoints[name]
 
     async def _disrupt_process(self, fault: Fault, front: FrontProcess) -> None:
-        """Stop, end or kill a front's process, unless another fault does."""
+        """Pause, restart or kill a front's process, unless another fault is acting on it."""
         if front.has_active_fault or not front.is_running:
             return
         front.has_active_fault = True
@@ -285,7 +285,7 @@
         front.has_active_fault = False
 
     async def _hold_idle_connections(self, fault: Fault, front: FrontProcess) -> None:
-        """Hold idle connections to a front for a while."""
+        """Hold idle connections to a front for the duration of the fault."""
         streams = []
         for _ in range(int(fault.strength * MAX_IDLE_CONNECTIONS)):
             try:
@@ -300,7 +300,7 @@
 
 
 async def _wait_until_listening(front: FrontProcess) -> None:
-    """Wait until a front takes connections."""
+    """Wait until a front accepts connections."""
     while True:
         try:
             await (await anyio.connect_tcp(*front.target.address)).aclose()
@@ -310,7 +310,7 @@
 
 
 def config_for_seed(config: dict[str, Any], seed: int, terms: SoakTerms) -> dict[str, Any]:
-    """Return a seed's configuration: short deadlines, and on odd seeds a class that may run once only."""
+    """Return the configuration of a seed: shortened deadlines, and a non-idempotent class on odd seeds."""
     varied = deepcopy(config)
     grades = varied["settings"]["grades"]
     longest_deadline = max(float(grade["hardLimit"]) for grade in grades)
@@ -323,7 +323,7 @@
 
 
 def limits_from_config(config: dict[str, Any]) -> Limits:
-    """Return what the rules go by under a configuration."""
+    """Return the checker's limits for a configuration."""
     settings, limits = config["settings"], config["limits"]
     grades = settings["grades"]
     family = settings["familyInfo"]
--- a/cometseam/soak/history.py
+++ b/cometseam/soak/history.py
@@ -1,6 +1,7 @@
-"""The record of a soak: what each side saw, on one monotonic clock, in one file a seed.
+"""History of a soak run: what clients, endpoints, discovery and processes observed, on one monotonic clock.
 
-Each record is one line of JSON with its kind, so that a failure is read as a timeline.
+Each seed has one file. Each record is one line of JSON with its type, so that a failure can be read as a
+timeline. Class and field names are the keys of that file.
 """
 
 import json
@@ -13,7 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """A front's process was started; its numbers of events begin after `base` (of the log's own)."""
+    """A front's process was started.
+
+    Its numbers of discovery events begin after `base`, the last event of the log in its configuration.
+    """
 
     at: float
     front: int
@@ -23,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """A front's process has ended; `asked_at`: when it got SIGTERM (0: it did not); `killed`: by SIGKILL."""
+    """A front's process ended.
+
+    `asked_at` is the time of SIGTERM, or 0 if none was sent; `killed` is whether SIGKILL ended the process.
+    """
 
     at: float
     front: int
@@ -35,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Requested:
-    """A client has written a request whole."""
+    """A client is about to write a request."""
 
     at: float
     front: int
     life: int
     request: str
-    limit: float  # s
+    limit: float  # s that the client waits for an answer
     group: int
     request_class: str
 
 
 @dataclass(frozen=True, slots=True)
 class Replied:
-    """A client has read an answer: 1 served, 2 refused, 3 failed."""
+    """A client read an answer; code 1 is served, 2 shed, 3 errored."""
 
     at: float
     request: str
@@ -57,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """A client stopped waiting: it closed its connection, or the front's end did."""
+    """A request lost its connection before an answer, closed by the client (`by_client`) or by the front."""
 
     at: float
     request: str
@@ -66,22 +73,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrived:
-    """An attempt has come whole to an endpoint; `first_at` is when its first bytes were read."""
+    """An endpoint has read an attempt completely; `first_at` is when its first bytes were read."""
 
     at: float
     first_at: float
     front: int
     life: int
     endpoint: str
-    source: str  # of a fill; empty: none
+    source: str  # endpoint that a fill reads from; empty if the attempt is no fill
     request: str
     time_left: float  # s that the front says it will wait
-    oldest: float  # s: the oldest copy that will do; 0: the class's
+    oldest: float  # s, maximum age of an acceptable copy; 0 means the limit of the request class
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """An attempt's end: its answer is written, it is given up, or its connection has ended."""
+    """An attempt ended: its answer was written, it was cancelled, or its connection ended (see `word`)."""
 
     at: float
     endpoint: str
@@ -91,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """An event entered discovery: an endpoint is in another state, or a group of objects is purged."""
+    """An event was added to discovery: an endpoint changed its state, or a group of objects was purged."""
 
     at: float
     number: int
@@ -102,9 +109,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Polled:
-    """A front's poll: when it was read, and when its answer was written whole (0: never).
+    """A front's poll of discovery.
 
-    `ended_at` is when its connection ended, where that came first; `told` the last event in the answer.
+    `asked_at` is when the poll was read and `answered_at` when its answer was written completely (0: never).
+    `ended_at` is when its handling ended, answered or not; `told` is the last event in the answer.
     """
 
     asked_at: float
@@ -117,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryTrouble:
-    """A front's discovery answered late by `delay` (s) from `at` to `until`; 0: it refused all."""
+    """From `at` to `until` a front's discovery answered late by `delay` (s); 0: it refused connections."""
 
     at: float
     until: float
@@ -127,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sampled:
-    """What a front's process held: descriptors, and memory in MB."""
+    """Resources in use by a front's process: open descriptors, and resident memory in MB."""
 
     at: float
     front: int
@@ -137,7 +145,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Lagged:
-    """The soak itself came late by so much (s): what it read then may have come that much sooner."""
+    """The soak process itself ran late by `by` seconds.
+
+    What it read at that time may have arrived that much earlier.
+    """
 
     at: float
     by: float
@@ -145,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acted:
-    """A fault has acted: what was done, to whom."""
+    """A fault was injected: its kind, the front or endpoint it hit, and when its effect ends."""
 
     at: float
     kind: str
@@ -172,28 +183,28 @@
 
 @dataclass
 class History:
-    """All records of a seed, in the order in which they were made."""
+    """All records of a seed, in order of creation."""
 
     records: list[Record] = field(default_factory=list)
 
     def add(self, record: Record) -> None:
-        """Take a record in."""
+        """Append a record."""
         self.records.append(record)
 
-    def of(self, kind: type[Kind]) -> list[Kind]:
-        """Return the records of a kind."""
-        return [record for record in self.records if isinstance(record, kind)]
+    def of(self, record_type: type[Kind]) -> list[Kind]:
+        """Return the records of one type."""
+        return [record for record in self.records if isinstance(record, record_type)]
 
     def write(self, path: Path, began_at: float) -> None:
-        """Write a line for each record, by time; times count from `began_at`."""
+        """Write one line per record, ordered by time; times are seconds since `began_at`."""
         lines = []
         for record in self.records:
             fields = {
                 name: round(value - began_at, 4) if _is_time(name) and value else value
                 for name, value in asdict(record).items()
             }
-            when = fields.get("at", fields.get("asked_at", 0.0))
-            lines.append((when, json.dumps({"record": type(record).__name__, **fields})))
+            recorded_at = fields.get("at", fields.get("asked_at", 0.0))
+            lines.append((recorded_at, json.dumps({"record": type(record).__name__, **fields})))
         path.write_text("".join(f"{line}\n" for _, line in sorted(lines)))
 
 
--- a/cometseam/soak/plan.py
+++ b/cometseam/soak/plan.py
@@ -1,4 +1,7 @@
-"""What happens in a soak, drawn from its seed: faults, their targets and their times. No I/O."""
+"""Draws the faults of a soak run, their targets and their times, from its seed. No I/O.
+
+The order of draws is part of the contract: a seed reproduces a run only while it stays the same.
+"""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,35 +12,36 @@
     """A kind of fault."""
 
     DRAIN = "drain"  # an endpoint begins to drain, and is removed later
-    PURGE = "purge"  # a group of objects
-    RESTART = "restart"  # SIGTERM; SIGKILL at the page's earliest; a start with the list of before
-    KILL = "kill"  # SIGKILL; a start with the list of before
+    PURGE = "purge"  # purge of a group of objects
+    RESTART = "restart"  # SIGTERM, SIGKILL as early as operations allow, then a start with the previous list
+    KILL = "kill"  # SIGKILL, then a start with the list from before it
     PAUSE = "pause"  # SIGSTOP, then SIGCONT
-    RELOAD = "reload"  # SIGHUP, a few in series
+    RELOAD = "reload"  # several SIGHUPs in a row
     DISCOVERY_SILENT = "discovery-silent"  # outstanding polls, and those on their connections, go unanswered
-    DISCOVERY_SLOW = "discovery-slow"  # each answer is late
-    DISCOVERY_DOWN = "discovery-down"  # connections end, new ones are refused
-    CROWD = "crowd"  # idle connections of clients
+    DISCOVERY_SLOW = "discovery-slow"  # each answer is delayed
+    DISCOVERY_DOWN = "discovery-down"  # connections are reset, new ones refused
+    CROWD = "crowd"  # many idle client connections
     HANG = "hang"  # an endpoint answers nothing
     RESET = "reset"  # an endpoint's connections are reset
     LEAVE = "leave"  # clients close their connections with requests open
 
 
-# How often a kind comes, against the others.
+# Relative frequency of each kind.
 KIND_WEIGHTS = {
     Kind.DRAIN: 5.0, Kind.PURGE: 3.0, Kind.RESTART: 2.0, Kind.KILL: 3.0, Kind.PAUSE: 3.0, Kind.RELOAD: 1.0,
     Kind.DISCOVERY_SILENT: 2.0, Kind.DISCOVERY_SLOW: 2.0, Kind.DISCOVERY_DOWN: 1.5, Kind.CROWD: 1.0,
     Kind.HANG: 1.5, Kind.RESET: 2.0, Kind.LEAVE: 2.0,
 }  # fmt: skip
-# Shortest and longest duration in seconds, of kinds that last.
+# Minimum and maximum duration, for the kinds that have one.
 DURATION_RANGES_S = {
     Kind.DRAIN: (1.0, 4.0), Kind.KILL: (0.1, 1.2), Kind.RESTART: (0.0, 0.5), Kind.PAUSE: (0.1, 2.5),
     Kind.DISCOVERY_SILENT: (0.5, 3.0), Kind.DISCOVERY_SLOW: (1.0, 4.0), Kind.DISCOVERY_DOWN: (0.2, 3.0),
     Kind.CROWD: (1.0, 3.0), Kind.HANG: (0.3, 2.0),
 }  # fmt: skip
-OVERLAP_PROBABILITY = 0.35  # share of faults that begin within `TOGETHER_WITHIN` of the one before
-OVERLAP_WINDOW_S = 0.6  # s
-# What may come with a fault, to the same front: a drain under a stopped process, a start in slow discovery.
+OVERLAP_PROBABILITY = 0.35  # that a fault begins within `OVERLAP_WINDOW_S` of the previous one
+OVERLAP_WINDOW_S = 0.6
+# Faults that may accompany a fault at the same front: a drain while its process is stopped, for example, or
+# slow discovery while it starts.
 COMPANIONS = {
     Kind.KILL: (Kind.DRAIN, Kind.DISCOVERY_SLOW, Kind.DISCOVERY_SILENT, Kind.DISCOVERY_DOWN, Kind.PURGE),
     Kind.RESTART: (Kind.DRAIN, Kind.DISCOVERY_SLOW, Kind.HANG, Kind.RELOAD),
@@ -46,18 +50,18 @@
     Kind.DISCOVERY_SLOW: (Kind.DRAIN, Kind.PURGE),
     Kind.DRAIN: (Kind.RESET, Kind.RELOAD),
 }  # fmt: skip
-COMPANION_PROBABILITY = 0.6  # the chance of each
-COMPANION_WINDOW_S = 0.5  # s
+COMPANION_PROBABILITY = 0.6  # of each
+COMPANION_WINDOW_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class SoakTerms:
-    """How large a soak is; seconds, counts, requests a second of each client."""
+    """Size of a soak run: times in seconds, counts, and `rate` in requests per second and client."""
 
     seconds: float = 12.0
     fronts: int = 3
     endpoints: int = 5
-    clients: int = 4  # of each front
+    clients: int = 4  # per front
     rate: float = 8.0
     faults_per_second: float = 0.6
     longest_deadline: float = 2.0
@@ -65,17 +69,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: when (s from the beginning), what, to which front or endpoint, for how long (s)."""
+    """One fault: its start (s since the beginning), kind, target (front or endpoint) and duration (s)."""
 
     at: float
     kind: Kind
     target: int
     lasts: float
-    strength: float  # in 0..1: a kind's own measure, as the delay of a slow discovery
+    strength: float  # in 0..1, scales what is specific to a kind, such as the delay of slow discovery
 
 
 def draw(seed: int, terms: SoakTerms) -> tuple[Fault, ...]:
-    """Return the faults of a seed, in order of time."""
+    """Return the faults of a seed, ordered by time."""
     random = Random(seed)
     faults: list[Fault] = []
     at = 0.5
--- a/cometseam/soak/process.py
+++ b/cometseam/soak/process.py
@@ -1,4 +1,4 @@
-"""One front as a process: started with the list of before, signalled, and recorded."""
+"""Controls one front's process: starts it with a given endpoint list, signals it, records its ends."""
 
 import json
 import signal
@@ -16,13 +16,14 @@
 from cometseam.soak.discovery import Discovery, EventLog
 from cometseam.soak.history import Ended, History, Sampled, Started
 
-KILL_DELAY_S = 0.7  # s past the longest deadline, after SIGTERM
-MAX_COUNTED_DEADLINE_S = 3.0  # s that count of it
-SAMPLE_INTERVAL_S = 0.25  # s
+# SIGKILL follows SIGTERM after the longest deadline, of which at most 3 s count, and 0.7 s more.
+KILL_DELAY_S = 0.7
+MAX_COUNTED_DEADLINE_S = 3.0
+SAMPLE_INTERVAL_S = 0.25
 
 
 class FrontProcess:
-    """A front's process over its lives."""
+    """A front's process across its restarts."""
 
     def __init__(
         self, target: Target, discovery: Discovery, log: EventLog, config: dict[str, Any], folder: Path,
@@ -30,7 +31,7 @@
     ) -> None:  # fmt: skip
         self.target, self.discovery = target, discovery
         self.is_running = False
-        self.has_active_fault = False  # a fault has it in hand
+        self.has_active_fault = False  # a fault is acting on the process
         self._log, self._config = log, deepcopy(config)
         self._path = folder / f"front-{target.number}.json"
         self._log_path = folder / f"front-{target.number}.log"
@@ -41,16 +42,16 @@
 
     @property
     def name(self) -> str:
-        """Return what its history calls it."""
+        """Return its name in the history."""
         return f"front-{self.target.number}"
 
     @property
     def longest_deadline(self) -> float:
-        """Return the longest deadline of its classes in seconds."""
+        """Return the longest deadline of its request classes in seconds."""
         return max(float(grade["hardLimit"]) for grade in self._config["settings"]["grades"]) / 1000.0
 
     def write_config(self) -> int:
-        """Write its configuration as things are now; return the number of the last event in it."""
+        """Write its configuration with the current endpoint list; return the last event in it."""
         host, port = self.target.address
         self._config.update(name=self.name, listen=f"{host}:{port}")
         self._config["changelog"] = f"127.0.0.1:{self.discovery.port}"
@@ -59,7 +60,7 @@
         return len(self._log.events)
 
     async def start(self, base: int) -> None:
-        """Start it with the configuration as it was written, at the event `base`."""
+        """Start it with the written configuration, whose last event is `base`."""
         self.target.life += 1
         self.discovery.life, self.discovery.base, self._sigterm_at = self.target.life, base, 0.0
         with self._log_path.open("ab") as output:
@@ -86,7 +87,7 @@
         await self._record_end(killed=True)
 
     async def terminate(self) -> None:
-        """End it by SIGTERM, and by SIGKILL at the page's earliest."""
+        """End it by SIGTERM, and by SIGKILL if it still runs at the earliest time that operations allow."""
         self.is_running = False
         self._sigterm_at = time.monotonic()
         self.signal(signal.SIGTERM)
@@ -102,7 +103,7 @@
         self._history.add(Ended(now, target.number, target.life, status, self._sigterm_at, killed))
 
     async def monitor(self) -> None:
-        """Sample what it holds, and record an end that nobody asked for, until cancelled."""
+        """Sample its descriptors and memory, and record an unexpected end, until cancelled."""
         while True:
             await anyio.sleep(SAMPLE_INTERVAL_S)
             if not self.is_running:
