--- a/bench/levels.py
+++ b/bench/levels.py
@@ -87,11 +87,11 @@
                 self.watch.signals.record_link(self.now, full)
         super().tell(event)
 
-    def _final(self, pull: int, kind: str) -> None:
-        super()._final(pull, kind)
+    def _record_final(self, pull: int, kind: str) -> None:
+        super()._record_final(pull, kind)
         if self.watch is not None:
             story = self.stories[pull]
-            took, quoted = self.now - story.at, story.quoted - story.at
+            took, quoted = self.now - story.at, story.target_at - story.at
             if kind != "shed":
                 self.watch.signals.record_answer(self.now, story.pull.workload, kind, took, quoted)
 
@@ -142,15 +142,15 @@
                     kept[int(entry[4])] = (entry[3], self.now)
                     while sum(size for size, _ in kept.values()) > HELD:
                         kept.popitem(last=False)
-                self._end(pull, number, Said(0.0, i.Outcome.OK, i.Remark.FILLED))
+                self._end_relay(pull, number, Said(0.0, i.Outcome.OK, i.Remark.FILLED))
         self._next()
 
-    def _end(self, pull: int, number: int, said: Said) -> None:
+    def _end_relay(self, pull: int, number: int, reply: Said) -> None:
         if (pull, number) in self.active:  # timed out or given up: its bytes no longer come
             self._move()
             del self.active[pull, number]
             self._next()
-        super()._end(pull, number, said)
+        super()._end_relay(pull, number, reply)
 
 
 def day(compiled: CompiledConfig | None, load_factor: float, seed: int, plain: bool = False) -> Linked:
@@ -195,7 +195,7 @@
             if workload in (None, story.pull.workload) and FROM <= story.at < TO:
                 worth = WORKLOADS[story.pull.workload].gain
                 asked += worth
-                got += worth * (story.finals[0][1] == "finished" and story.finals[0][0] <= story.quoted)
+                got += worth * (story.finals[0][1] == "finished" and story.finals[0][0] <= story.target_at)
         return got / asked
 
     return of
--- a/bench/loopback.py
+++ b/bench/loopback.py
@@ -54,8 +54,8 @@
             return None, "", "", b""
         return 0.002, "LACK", f"rep=util:0.5;x1:{len(self.active) / ROOM:.2f}", b""
 
-    def _request(self, link: Link, parts: list[str]) -> None:
-        super()._request(link, parts)
+    def _start_relay(self, link: Link, parts: list[str]) -> None:
+        super()._start_relay(link, parts)
         fields = dict(item.split("=", 1) for item in parts[2].split(","))
         wanted = f"{fields['name']}.{fields['piece']}"
         fills = "via" in fields and "have-only" not in fields.get("opts", "")
@@ -71,15 +71,15 @@
             left[0] -= 1000.0 * (now - self.moved) * rate
         self.moved = now
 
-    def _round(self, waits: float) -> None:
-        super()._round(min(waits, 0.004) if self.active else waits)
+    def _handle_commands(self, timeout: float) -> None:
+        super()._handle_commands(min(timeout, 0.004) if self.active else timeout)
         self._move()
         for id, (link, left, wanted, rank) in list(self.active.items()):
-            if self.out.get(id, (0, None))[1] is not link.sock:
+            if self.in_flight.get(id, (0, None))[1] is not link.sock:
                 del self.active[id]  # given up: its bytes no longer come
             elif left[0] <= 0.0:
                 del self.active[id]
-                del self.out[id]
+                del self.in_flight[id]
                 kept = self.kept[link.cache]
                 if rank:
                     kept[wanted] = self.sizes[wanted.partition(".")[0]]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Honours KNOWN-RED.txt at the root: a test named there is run, has to fail, and its failure is printed.
+"""Applies KNOWN-RED.txt of the root: a test listed there is run, must fail, and its failure is printed.
 
-Beside it the fixture that several files force crossings with.
+Also holds the fixture with which several files delay connections, to force races.
 """
 
 import socket
@@ -8,56 +8,59 @@
 import anyio
 import pytest
 
-from tests.knownred import FILE, Red, read, unknown
+from tests.knownred import FILE_NAME, KnownFailure, missing_tests, parse
 
-REDS = pytest.StashKey[dict[str, Red]]()
+KNOWN_FAILURES = pytest.StashKey[dict[str, KnownFailure]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file; absent means none."""
-    path = config.rootpath / FILE
+    """Read the file; without it there are no known failures."""
+    path = config.rootpath / FILE_NAME
     try:
-        reds = read(path.read_text()) if path.exists() else []
+        known_failures = parse(path.read_text()) if path.exists() else []
     except ValueError as error:
         raise pytest.UsageError(str(error)) from error
-    config.stash[REDS] = {red.test: red for red in reds}
+    config.stash[KNOWN_FAILURES] = {each.test: each for each in known_failures}
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Have each test that is named fail or the run fail; a line that names no test fails the run."""
-    reds = config.stash[REDS]
+    """Mark each listed test as a strict expected failure; a listed test that does not exist fails the run."""
+    known_failures = config.stash[KNOWN_FAILURES]
     ids = {item.nodeid for item in items}
-    whole = config.args == config.getini("testpaths") or config.args == [str(config.rootpath)]
-    if missing := unknown(list(reds.values()), ids, whole, config.rootpath):
-        raise pytest.UsageError(f"{FILE}: no such test: {', '.join(missing)}")
+    is_full_run = config.args == config.getini("testpaths") or config.args == [str(config.rootpath)]
+    if missing := missing_tests(list(known_failures.values()), ids, is_full_run, config.rootpath):
+        raise pytest.UsageError(f"{FILE_NAME}: no such test: {', '.join(missing)}")
     for item in items:
-        if (red := reds.get(item.nodeid)) is not None:
-            item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
+        if (known_failure := known_failures.get(item.nodeid)) is not None:
+            item.add_marker(
+                pytest.mark.xfail(reason=f"{known_failure.cause} ({known_failure.issue})", strict=True)
+            )
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print each failure that was passed over."""
+    """Print each expected failure."""
     for report in terminalreporter.stats.get("xfailed", []):
-        red = config.stash[REDS].get(report.nodeid)
-        if red is not None:
-            terminalreporter.section(f"KNOWN RED {red.test}")
-            terminalreporter.write_line(f"{red.cause} ({red.issue})")
+        known_failure = config.stash[KNOWN_FAILURES].get(report.nodeid)
+        if known_failure is not None:
+            terminalreporter.section(f"KNOWN RED {known_failure.test}")
+            terminalreporter.write_line(f"{known_failure.cause} ({known_failure.issue})")
             terminalreporter.write_line(report.longreprtext)
 
 
 @pytest.fixture
 def gates(monkeypatch: pytest.MonkeyPatch) -> list[anyio.Event]:
-    """Have each connection to a peer come up only when its gate is opened: as late as the test wants."""
-    from cometseam.transport.peer import Channel  # here: the rest of this file is tried out apart from it
+    """Hold each connection to a peer until the test sets its gate; gates are listed as connections begin."""
+    # Imported here because test_known_red.py runs this file without the package.
+    from cometseam.transport.peer import Channel
 
-    held: list[anyio.Event] = []
+    all_gates: list[anyio.Event] = []
     connect = Channel._connect
 
-    async def late(channel: Channel) -> socket.socket:
-        held.append(anyio.Event())
-        await held[-1].wait()
+    async def connect_after_gate(channel: Channel) -> socket.socket:
+        all_gates.append(anyio.Event())
+        await all_gates[-1].wait()
         return await connect(channel)
 
-    monkeypatch.setattr(Channel, "_connect", late)
-    return held
+    monkeypatch.setattr(Channel, "_connect", connect_after_gate)
+    return all_gates
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests: `Drive` drives one `Front` by hand, `World` runs the real program among stand-ins."""
+"""Test helpers: `Drive` passes events to one `Front`; `World` runs the real program among simulated peers."""
 
 import json
 import re
@@ -71,13 +71,13 @@
 
 
 def line(cache: int, state: i.Lifecycle = i.Lifecycle.READY, ready_at: float = 0.0) -> i.CacheEntry:
-    """One line of the list; the cache's number tells its kind, and its last digit its cell."""
-    kind = cache // 10 - 1
-    return i.CacheEntry(cache, state, ready_at, cache % 10, 1 if kind == 0 else 0, kind, 8.0)
+    """Return a list entry; the tens digit of the cache's number gives its kind, the last digit its cell."""
+    kind_index = cache // 10 - 1
+    return i.CacheEntry(cache, state, ready_at, cache % 10, 1 if kind_index == 0 else 0, kind_index, 8.0)
 
 
 class Drive:
-    """A front, its clock and the trace of its decisions."""
+    """A front, its simulated clock, and the trace of its decisions."""
 
     def __init__(self, settings: i.Settings = SETTINGS, caches: tuple[int, ...] = SERVERS) -> None:
         self.front, self.now = Front(7, settings), 1000.0
@@ -87,58 +87,58 @@
         self.tell(i.CacheListUpdate(i.ListUpdateKind.CACHED, tuple(line(cache) for cache in caches)))
 
     def tell(self, event: i.Event, after: float = 0.0) -> None:
-        """Pass an event on, and write down all that comes back but the timers."""
+        """Pass an event to the front `after` ms, and add all actions but timers to the trace."""
         self.now += after
         for action in self.front.handle(self.now, event):
             if isinstance(action, i.Relay):
                 self.last[action.id] = action
                 self.relays[action.id] = self.relays.get(action.id, -1) + 1
-                text = f"relay to {action.cache} from {action.source} rank {action.rank}"
-                text += " held only" if action.only_cached else ""
-                text += f" oldest {action.max_age:g}" if action.max_age else ""
+                entry = f"relay to {action.cache} from {action.source} rank {action.rank}"
+                entry += " held only" if action.only_cached else ""
+                entry += f" oldest {action.max_age:g}" if action.max_age else ""
             elif isinstance(action, i.StartTimer):
                 continue
             else:
-                text = type(action).__name__.lower()
-            number = getattr(action, "id", "-")
-            self.trace.append(f"{self.now - 1000.0:g} pull {number}: {text}")
+                entry = type(action).__name__.lower()
+            pull_id = getattr(action, "id", "-")
+            self.trace.append(f"{self.now - 1000.0:g} pull {pull_id}: {entry}")
 
     def pull(self, number: int, wanted: int = 5, workload: int = 0, after: float = 10.0,
              part: int = 0) -> None:  # fmt: skip
-        """A client asks for a part of an object."""
+        """Pass a client's pull of a part of an object."""
         self.tell(i.Pull(number, wanted, part, workload, 2000.0, False, 500.0, 3), after)
 
     def end(self, number: int, outcome: i.Outcome = i.Outcome.OK, remark: i.Remark = i.Remark.HIT,
             after: float = 100.0, load: tuple[float, ...] = ()) -> None:  # fmt: skip
-        """The pull's newest relay ends."""
+        """End the latest relay of a pull."""
         relay = self.last[number]
-        closed = outcome is i.Outcome.OK
-        ended = i.RelayEnded(
-            number, self.relays[number], relay.cache, outcome, remark, after, 0.0, closed, load
+        is_served = outcome is i.Outcome.OK
+        relay_ended = i.RelayEnded(
+            number, self.relays[number], relay.cache, outcome, remark, after, 0.0, is_served, load
         )
-        self.tell(ended, after)
+        self.tell(relay_ended, after)
 
     def lack(self, number: int, load: tuple[float, ...] = ()) -> None:
-        """The cache that was looked at holds no copy."""
+        """End a cache lookup with a miss."""
         self.end(number, i.Outcome.MISS, i.Remark.NONE, after=1.0, load=load)
 
     def check(self, name: str) -> None:
-        """Compare the trace with the one kept under `traces/`."""
-        kept = Path(__file__).parent / "traces" / f"{name}.txt"
+        """Compare the trace with the recorded one under `traces/`."""
+        expected_path = Path(__file__).parent / "traces" / f"{name}.txt"
         text = "\n".join(self.trace) + "\n"
-        if "KEEP_TRACES" in environ:  # after a change that is meant to show
-            kept.write_text(text)
-        assert text == kept.read_text()
+        if "KEEP_TRACES" in environ:  # to record traces anew after an intended change
+            expected_path.write_text(text)
+        assert text == expected_path.read_text()
 
 
 SAMPLE: dict[str, Any] = json.loads((Path(__file__).parent.parent / "deploy" / "sample.json").read_text())
 ENDS = (anyio.EndOfStream, anyio.IncompleteRead, anyio.BrokenResourceError, anyio.ClosedResourceError)
-PATIENCE = 20.0  # s that a test may wait for anything; none waits for time to pass
+DEFAULT_TIMEOUT_S = 20.0  # of a whole test; tests wait for conditions, never for time to pass
 
 
 @dataclass
 class Asked:
-    """A command that reached a stand-in, and the connection it came over."""
+    """A command that a simulated cache received, and the connection it came over."""
 
     cache: "Cache"
     stream: SocketStream
@@ -162,13 +162,13 @@
 
 
 def resp(*parts: str | bytes) -> bytes:
-    """A RESP array."""
-    raws = [part.encode() if isinstance(part, str) else part for part in parts]
-    return b"*%d\r\n" % len(raws) + b"".join(b"$%d\r\n%b\r\n" % (len(raw), raw) for raw in raws)
+    """Return a RESP array of bulk strings."""
+    encoded = [part.encode() if isinstance(part, str) else part for part in parts]
+    return b"*%d\r\n" % len(encoded) + b"".join(b"$%d\r\n%b\r\n" % (len(raw), raw) for raw in encoded)
 
 
 class News:
-    """Wakes those that wait for something to be so."""
+    """Lets tasks wait until a condition holds; `tell` makes them check it again."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
@@ -176,32 +176,37 @@
     def tell(self) -> None:
         self._event.set()
 
-    async def until(self, met: Callable[[], Any]) -> None:
-        while not met():
+    async def until(self, condition: Callable[[], Any]) -> None:
+        while not condition():
             if self._event.is_set():
                 self._event = anyio.Event()
             await self._event.wait()
 
 
 class Cache:
-    """A stand-in for a cache: it writes down what it is asked, and answers what a test tells it to."""
+    """A simulated cache: it records the commands that it receives; the test writes the answers.
+
+    `seen` counts commands that the test has taken, `doubted` keep-alive checks, `ended` closed connections.
+    """
 
     def __init__(self, name: str, news: News) -> None:
         self.name, self.news = name, news
         self.asked: list[Asked] = []
         self.seen = self.doubted = self.ended = 0
-        self.alive = False  # else it is silent, as a machine that has vanished is
+        self.alive = (
+            False  # whether it answers keep-alive checks; if not, it is like a host that has vanished
+        )
 
     async def serve(self, stream: SocketStream) -> None:
         reader = BufferedByteReceiveStream(stream)
         try:
             while True:
                 count = int((await reader.receive_until(b"\r\n", 20))[1:])
-                raws = []
+                parts = []
                 for _ in range(count):
                     size = int((await reader.receive_until(b"\r\n", 20))[1:])
-                    raws.append((await reader.receive_exactly(size + 2))[:-2])
-                asked = Asked(self, stream, [raw.decode() for raw in raws[:3]], b"".join(raws[3:]))
+                    parts.append((await reader.receive_exactly(size + 2))[:-2])
+                asked = Asked(self, stream, [raw.decode() for raw in parts[:3]], b"".join(parts[3:]))
                 if asked.word == "HELO":
                     self.doubted += 1
                     if self.alive:
@@ -222,7 +227,7 @@
 
 @dataclass
 class Got:
-    """A frame that came from the front."""
+    """A frame received from the front."""
 
     type: int
     stream: int
@@ -232,26 +237,26 @@
 
 
 def frame(kind: int, stream: int = 0, payload: bytes = b"") -> bytes:
-    """A client's frame."""
+    """Return a frame as a client writes it."""
     return struct.pack(">IBI", 5 + len(payload), kind, stream) + payload
 
 
 def fields_of(values: dict[str, str]) -> bytes:
-    """Fields as clients write them."""
-    raws = [(name.encode(), value.encode()) for name, value in values.items()]
-    return bytes([len(raws)]) + b"".join(
-        bytes([len(name)]) + name + struct.pack(">H", len(value)) + value for name, value in raws
+    """Return fields as a client encodes them."""
+    encoded = [(name.encode(), value.encode()) for name, value in values.items()]
+    return bytes([len(encoded)]) + b"".join(
+        bytes([len(name)]) + name + struct.pack(">H", len(value)) + value for name, value in encoded
     )
 
 
 def order(stream: int, body: bytes = b"", **changed: str | None) -> bytes:
-    """A client's request; a field changed to None is left out."""
+    """Return a client's request; a field changed to None is left out."""
     values: dict[str, str | None] = {
         "verb": "maps", "txn": f"{stream:016x}", "limit": "2500", "item": "7f3a9c21e0b4d655", "nth": "3",
         "batch": "17", "ram": "41.5", **changed,
     }  # fmt: skip
-    told = {name: value for name, value in values.items() if value is not None}
-    return frame(16, stream, fields_of(told) + body)
+    present = {name: value for name, value in values.items() if value is not None}
+    return frame(16, stream, fields_of(present) + body)
 
 
 class Caller:
@@ -265,20 +270,20 @@
         await self.stream.send(b"".join(raws))
 
     async def next(self) -> Got:
-        length, kind, stream = struct.unpack(">IBI", await self._reader.receive_exactly(9))
+        length, frame_type, stream = struct.unpack(">IBI", await self._reader.receive_exactly(9))
         payload = await self._reader.receive_exactly(length - 5) if length > 5 else b""
         if not payload:
-            return Got(kind, stream)
-        values, at = {}, 2
+            return Got(frame_type, stream)
+        values, offset = {}, 2
         for _ in range(payload[1]):
-            end = at + 1 + payload[at]
+            end = offset + 1 + payload[offset]
             size = int.from_bytes(payload[end : end + 2], "big")
-            values[payload[at + 1 : end].decode()] = payload[end + 2 : end + 2 + size].decode()
-            at = end + 2 + size
-        return Got(kind, stream, payload[0], values, payload[at:])
+            values[payload[offset + 1 : end].decode()] = payload[end + 2 : end + 2 + size].decode()
+            offset = end + 2 + size
+        return Got(frame_type, stream, payload[0], values, payload[offset:])
 
     async def ended(self) -> bool:
-        """Wait for the end of the connection; False where a frame comes first."""
+        """Wait for the end of the connection; return False if a frame comes first."""
         try:
             await self.next()
         except (anyio.IncompleteRead, anyio.BrokenResourceError):
@@ -287,18 +292,18 @@
 
 
 class World:
-    """The program as a process, with stand-ins for all that it talks to."""
+    """The program as a process, with simulated peers for everything that it connects to."""
 
     def __init__(self) -> None:
         self.config = deepcopy(SAMPLE)
         self.caches: dict[str, Cache] = {}
-        self.log: list[dict[str, Any]] = []  # the events after those of the configuration
-        self.broken: list[bytes] = []  # what the change log answers instead, once each
-        self.polled: list[int] = []  # the number that each poll asked from
+        self.log: list[dict[str, Any]] = []  # discovery events after those of the configuration
+        self.broken: list[bytes] = []  # answers of discovery to send instead, once each
+        self.polled: list[int] = []  # event number from which each poll asked
         self.news = News()
         self.environment: dict[str, str] = {}
         self.command = [sys.executable, "-m", "cometseam"]
-        self.listens = b"listens"  # what the log says once it does
+        self.listens = b"listens"  # text in the program's log once it accepts connections
         self.discover = self.change_log  # answers polls of discovery
         self.before_start: Callable[[], Awaitable[None]] = anyio.lowlevel.checkpoint
         self.process: Process
@@ -307,34 +312,34 @@
         self.output = b""
 
     async def listen(self, serve: Callable[[SocketStream], Any]) -> str:
-        """Listen at a free port of the loopback address."""
+        """Listen on a free port of the loopback address; return the address."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self._tasks.start_soon(listener.serve, serve)
         return f"127.0.0.1:{listener.extra(SocketAttribute.local_port)}"
 
     async def add(self, name: str, like: str | None = None, at: str | None = None) -> Cache:
-        """Stand in for a cache of the sample, or for one more like it; `at`: another one does, there."""
-        lines = self.config["known"]["results"][0]["fleet"]["endpoints"]
+        """Simulate a cache of the sample, or one more like `like`; `at` is the address of another server."""
+        entries = self.config["known"]["results"][0]["fleet"]["endpoints"]
         if like is not None:
-            lines.append({**next(line for line in lines if line["name"] == like), "name": name})
-        line = next(line for line in lines if line["name"] == name)
+            entries.append({**next(line for line in entries if line["name"] == like), "name": name})
+        line = next(line for line in entries if line["name"] == name)
         cache = self.caches[name] = Cache(name, self.news)
         line["address"] = at or await self.listen(cache.serve)
         return cache
 
     def line(self, name: str, /, **changed: Any) -> dict[str, Any]:
-        """A cache's line in the list, changed."""
-        lines = self.config["known"]["results"][0]["fleet"]["endpoints"]
-        return {**next(line for line in lines if line["name"] == name), **changed}
+        """Return a cache's entry in the endpoint list, with changes."""
+        entries = self.config["known"]["results"][0]["fleet"]["endpoints"]
+        return {**next(line for line in entries if line["name"] == name), **changed}
 
     def tell(self, **event: Any) -> None:
-        """Add an event to the change log."""
+        """Add an event to discovery."""
         self.log.append({"seq": len(self.log) + 2, **event})
         self.news.tell()
 
     async def polled_from(self, since: int) -> None:
-        """Wait until the front has asked for what comes after an event, so has the event."""
-        await self.news.until(lambda: any(asked >= since for asked in self.polled))
+        """Wait until the front polls for what follows an event, so it has received that event."""
+        await self.news.until(lambda: any(polled >= since for polled in self.polled))
 
     async def change_log(self, stream: SocketStream) -> None:
         reader = BufferedByteReceiveStream(stream)
@@ -347,20 +352,20 @@
                 with anyio.move_on_after(int(head.split("timeout=")[1].split()[0]) / 1000.0):
                     await self.news.until(lambda: self.broken or len(self.log) + 1 > since)  # noqa: B023
                 new = [event for event in self.log if event["seq"] > since]
-                told = json.dumps({"seq": len(self.log) + 1, "results": new}).encode()
-                text = self.broken.pop(0) if self.broken else told
-                await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
+                answer = json.dumps({"seq": len(self.log) + 1, "results": new}).encode()
+                body = self.broken.pop(0) if self.broken else answer
+                await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         except ENDS:
             await stream.aclose()
 
     async def break_log(self, *texts: bytes) -> None:
-        """Have the change log answer these texts first."""
+        """Send these bodies as the next answers to polls, and wait until all are sent."""
         self.broken += texts
         self.news.tell()
         await self.news.until(lambda: not self.broken)
 
     async def first(self) -> Asked:
-        """Wait until one of the caches is asked something new."""
+        """Return the next command that any of the caches receives."""
         await self.news.until(lambda: any(len(cache.asked) > cache.seen for cache in self.caches.values()))
         return await next(c for c in self.caches.values() if len(c.asked) > c.seen).next()
 
@@ -372,7 +377,7 @@
         await listener.aclose()
         self.path = path = folder / "config.json"
         path.write_text(json.dumps(self.config))
-        await self.before_start()  # what happens from here on is not in the list of the start
+        await self.before_start()  # later changes are not in the configuration that the program reads
         self.process = await anyio.open_process(
             self.command, stderr=PIPE, env={**environ, "ROUTER_CONFIG": str(path), **self.environment},
         )  # fmt: skip
@@ -380,12 +385,12 @@
         await self.logged(self.listens)
 
     async def reload(self, text: str | None = None) -> None:
-        """Replace the configuration by what it is now, or by a text, and have it read anew."""
-        line = b"configuration: "
-        had = self.output.count(line)
+        """Write the current configuration, or `text`, to the file and make the program read it again."""
+        marker = b"configuration: "
+        count_before = self.output.count(marker)
         self.path.write_text(json.dumps(self.config) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
-        await self.news.until(lambda: self.output.count(line) > had)
+        await self.news.until(lambda: self.output.count(marker) > count_before)
 
     async def _read_log(self) -> None:
         assert self.process.stderr is not None
@@ -394,7 +399,7 @@
             self.news.tell()
 
     async def logged(self, text: bytes) -> None:
-        """Wait until the program's log holds this and the line's end."""
+        """Wait until the program's log holds this text and the end of its line."""
         await self.news.until(lambda: b"\n" in self.output.partition(text)[2])
 
     async def call(self) -> Caller:
@@ -411,19 +416,19 @@
         """Wait for the program's end, and return its counters."""
         assert await self.process.wait() == 0, self.output.decode()
         await self.logged(b"at exit")
-        told = self.output.decode().split("counters (at exit): ")[1]
-        # What must hold and did not is named by a few words.
-        return {name: float(value) for name, value in re.findall(r"(\S[^=\n]*)=(-?[0-9.]+)", told)}
+        counters = self.output.decode().split("counters (at exit): ")[1]
+        # Counters of broken invariants have several words in their names.
+        return {name: float(value) for name, value in re.findall(r"(\S[^=\n]*)=(-?[0-9.]+)", counters)}
 
 
 @asynccontextmanager
 async def world(
     folder: Path, *more: str, operator: Path | None = None, log: str = "text", listens: bytes = b"listens",
-    patience: float = PATIENCE, at: dict[str, str] | None = None, command: list[str] | None = None,
+    patience: float = DEFAULT_TIMEOUT_S, at: dict[str, str] | None = None, command: list[str] | None = None,
     environment: dict[str, str] | None = None, name: str = "front-1",
     prepare: Callable[[World], None] | None = None, **limits: int,
 ) -> AsyncIterator[World]:  # fmt: skip
-    """The program among stand-ins for the sample's caches, and for more like its first."""
+    """Run the program among simulated caches: those of the sample, and `more` like its first."""
     here = World()
     here.config["limits"].update(limits)
     here.config["name"] = name
--- a/tests/knownred.py
+++ b/tests/knownred.py
@@ -1,45 +1,55 @@
-"""KNOWN-RED.txt: tests that fail for a real fault that is not mended yet; each is run, and must fail."""
+"""Reads KNOWN-RED.txt: tests that fail because of a real fault not fixed yet; each is run, and must fail."""
 
 from pathlib import Path
 from typing import NamedTuple
 
-FILE, MOST = "KNOWN-RED.txt", 3
+FILE_NAME = "KNOWN-RED.txt"
+MAX_ENTRIES = 3
 
 
-class Red(NamedTuple):
-    """One line of the file: a test by its id, the cause, and the issue that holds it."""
+class KnownFailure(NamedTuple):
+    """One line of the file: a test's id, the cause of its failure, and the issue for it."""
 
     test: str
     cause: str
     issue: str
 
 
-def read(text: str) -> list[Red]:
-    """Read the lines `TEST | CAUSE | ISSUE`; what is wrong is a ValueError that names the line."""
-    reds = []
+def parse(text: str) -> list[KnownFailure]:
+    """Parse lines `TEST | CAUSE | ISSUE`.
+
+    Raises:
+        ValueError: a line has another form, or there are more than `MAX_ENTRIES`.
+    """
+    known_failures = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise ValueError(f"{FILE}:{number}: a line is TEST | CAUSE | ISSUE")
-        reds.append(Red(*parts))
-    if len(reds) > MOST:
-        raise ValueError(f"{FILE}: {len(reds)} lines, {MOST} at the most")
-    return reds
+            raise ValueError(f"{FILE_NAME}:{number}: a line is TEST | CAUSE | ISSUE")
+        known_failures.append(KnownFailure(*parts))
+    if len(known_failures) > MAX_ENTRIES:
+        raise ValueError(f"{FILE_NAME}: {len(known_failures)} lines, {MAX_ENTRIES} at the most")
+    return known_failures
 
 
-def unknown(reds: list[Red], collected: set[str], whole: bool, root: Path) -> list[str]:
-    """Return the tests named that there are not.
+def missing_tests(
+    known_failures: list[KnownFailure], collected: set[str], is_full_run: bool, root: Path
+) -> list[str]:
+    """Return the listed tests that do not exist.
 
     Args:
-        collected: the ids of the tests that this run found, before any was left out.
-        whole: whether the run looked at all tests; else a file that it did not look at proves nothing.
+        known_failures: the lines of the file.
+        collected: ids of the tests that this run collected, before any was deselected.
+        is_full_run: whether the run collected all tests; if not, tests of a file that it did not collect are
+            not checked, unless the file is gone.
+        root: the project's root.
     """
     files = {test.split("::")[0] for test in collected}
 
-    def judged(red: Red) -> bool:
-        file = red.test.split("::")[0]
-        return whole or file in files or not (root / file).exists()
+    def is_checkable(known_failure: KnownFailure) -> bool:
+        file = known_failure.test.split("::")[0]
+        return is_full_run or file in files or not (root / file).exists()
 
-    return [red.test for red in reds if red.test not in collected and judged(red)]
+    return [each.test for each in known_failures if each.test not in collected and is_checkable(each)]
--- a/tests/standins/caches.py
+++ b/tests/standins/caches.py
@@ -1,8 +1,8 @@
-"""Caches on loopback, in one thread, with a record of their own of what was out when.
+"""Simulated caches on loopback, in one thread, that record which relays were in flight at which time.
 
-All sockets are read before anything is judged: a relay that is given up is written before the next one of
-its pull, so whenever that can be read the giving up can be read as well. No verdict hangs on which socket
-was looked at first.
+All sockets are read before any command is handled. The front writes the cancellation of a relay before the
+next relay of its pull, so whenever that relay can be read, the cancellation can be read as well. Hence the
+order in which sockets are read does not change the record.
 """
 
 import selectors
@@ -16,7 +16,7 @@
 from itertools import count
 
 Answer = tuple[float | None, str, str, bytes]  # delay in s (None: never), word, fields, body
-Behave = Callable[[int, str, dict[str, str], int], Answer]  # cache, id, fields, times it was asked
+Behave = Callable[[int, str, dict[str, str], int], Answer]  # cache, id, fields, relays so far
 
 
 @dataclass
@@ -29,48 +29,48 @@
 
 
 def resp(*parts: str | bytes) -> bytes:
-    """A RESP array of bulk strings."""
+    """Return a RESP array of bulk strings."""
     raws = [part.encode() if isinstance(part, str) else part for part in parts]
     return b"*%d\r\n" % len(raws) + b"".join(b"$%d\r\n%b\r\n" % (len(raw), raw) for raw in raws)
 
 
-def parse(data: bytearray) -> list[str] | None:
-    """Take one whole array off the front of what came, if there is one."""
+def pop_command(data: bytearray) -> list[str] | None:
+    """Remove one complete array from the start of the received data; return its parts, None if incomplete."""
     if not data.startswith(b"*") or b"\r\n" not in data:
         return None
     end = data.index(b"\r\n")
-    parts, at = [], end + 2
+    parts, offset = [], end + 2
     for _ in range(int(data[1:end])):
-        stop = data.find(b"\r\n", at)
-        if stop < 0:
+        line_end = data.find(b"\r\n", offset)
+        if line_end < 0:
             return None
-        size = int(data[at + 1 : stop])
-        if len(data) < stop + 2 + size + 2:
+        size = int(data[offset + 1 : line_end])
+        if len(data) < line_end + 2 + size + 2:
             return None
-        parts.append(data[stop + 2 : stop + 2 + size].decode())
-        at = stop + 2 + size + 2
-    del data[:at]
+        parts.append(data[line_end + 2 : line_end + 2 + size].decode())
+        offset = line_end + 2 + size + 2
+    del data[:offset]
     return parts
 
 
 class Caches:
-    """Stand-ins for a few caches; `two_out` holds each time that a pull had two relays out."""
+    """A few simulated caches; `two_out` holds each case of a pull with two relays in flight."""
 
     def __init__(self, number: int, behave: Behave) -> None:
         self.behave = behave
         self.addresses: list[str] = []
         self.two_out: list[str] = []
-        self.out: dict[str, tuple[int, socket.socket]] = {}  # by id: where a relay is out
+        self.in_flight: dict[str, tuple[int, socket.socket]] = {}  # by id: where a relay is in flight
         self.asked: Counter[int] = Counter()
         self.given_up: Counter[int] = Counter()
         self.relays: dict[str, list[tuple[float, int]]] = {}  # by id: when and where
-        self.most_out = 0
-        self.levels: list[tuple[float, int, int]] = []  # at each relay: when, where, how many are out there
+        self.max_in_flight = 0
+        self.levels: list[tuple[float, int, int]] = []  # at each relay: time, cache, relays in flight there
         self._selector = selectors.DefaultSelector()
-        self._order = count()
+        self._sequence = count()
         self._due: list[tuple[float, int, Link, str, bytes]] = []
-        self.silent: set[int] = set()  # caches that take connections and say nothing, whatever they are asked
-        self.helped: Counter[int] = Counter()  # times a cache was asked whether it works
+        self.silent: set[int] = set()  # caches that accept connections and never answer anything
+        self.keepalive_checks: Counter[int] = Counter()  # by cache
         self._stop = threading.Event()
         for cache in range(number):
             listener = socket.create_server(("127.0.0.1", 0))
@@ -92,32 +92,32 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            waits = max(min(self._due[0][0] - time.monotonic(), 0.05), 0.0) if self._due else 0.05
-            self._round(waits)
+            timeout = max(min(self._due[0][0] - time.monotonic(), 0.05), 0.0) if self._due else 0.05
+            self._handle_commands(timeout)
             while self._due and self._due[0][0] <= time.monotonic():
                 _, _, link, id, raw = heappop(self._due)
-                if self.out.get(id, (0, None))[1] is link.sock:
-                    del self.out[id]
+                if self.in_flight.get(id, (0, None))[1] is link.sock:
+                    del self.in_flight[id]
                     self._send(link, raw)
 
-    def _round(self, waits: float) -> None:
-        commands = self._read(waits)
+    def _handle_commands(self, timeout: float) -> None:
+        commands = self._read_commands(timeout)
         if any(parts[0] == "REQ" for _, parts in commands):
-            commands += self._read(0.0)  # what was written before it is there by now
+            commands += self._read_commands(0.0)  # anything written before it has arrived by now
         for link, parts in commands:
             if parts[0] == "STOP":
-                self._ended(link, parts[1], given_up=True)
+                self._end_relay(link, parts[1], given_up=True)
         for link, parts in commands:
             if parts[0] == "REQ":
-                self._request(link, parts)
+                self._start_relay(link, parts)
             elif parts[0] == "HELO":
-                self.helped[link.cache] += 1
+                self.keepalive_checks[link.cache] += 1
                 if link.cache not in self.silent:
                     self._send(link, resp(parts[1], "FIT", "-", b""))
 
-    def _read(self, waits: float) -> list[tuple[Link, list[str]]]:
+    def _read_commands(self, timeout: float) -> list[tuple[Link, list[str]]]:
         commands: list[tuple[Link, list[str]]] = []
-        for key, _ in self._selector.select(waits):
+        for key, _ in self._selector.select(timeout):
             if isinstance(key.data, int):
                 sock, _ = key.fileobj.accept()  # type: ignore[union-attr]
                 sock.setblocking(False)
@@ -131,41 +131,48 @@
             if not data:
                 self._selector.unregister(link.sock)
                 link.sock.close()
-                for id, (_, sock) in list(self.out.items()):
+                for id, (_, sock) in list(self.in_flight.items()):
                     if sock is link.sock:
-                        del self.out[id]
+                        del self.in_flight[id]
                 continue
             link.data += data
-            while (parts := parse(link.data)) is not None:
+            while (parts := pop_command(link.data)) is not None:
                 commands.append((link, parts))
         return commands
 
-    def _ended(self, link: Link, id: str, given_up: bool) -> None:
-        if self.out.get(id, (0, None))[1] is link.sock:
-            del self.out[id]
+    def _end_relay(self, link: Link, id: str, given_up: bool) -> None:
+        if self.in_flight.get(id, (0, None))[1] is link.sock:
+            del self.in_flight[id]
             self.given_up[link.cache] += given_up
 
-    def _request(self, link: Link, parts: list[str]) -> None:
+    def _start_relay(self, link: Link, parts: list[str]) -> None:
         id = parts[1]
         fields = dict(item.split("=", 1) for item in parts[2].split(","))
-        if id in self.out:
-            self.two_out.append(f"{id}: at cache {self.out[id][0]} and at cache {link.cache}")
-        self.out[id] = (link.cache, link.sock)
-        self.most_out = max(self.most_out, len(self.out))
-        there = sum(cache == link.cache for cache, _ in self.out.values())
-        self.levels.append((time.monotonic(), link.cache, there))
+        if id in self.in_flight:
+            self.two_out.append(f"{id}: at cache {self.in_flight[id][0]} and at cache {link.cache}")
+        self.in_flight[id] = (link.cache, link.sock)
+        self.max_in_flight = max(self.max_in_flight, len(self.in_flight))
+        in_flight_at_cache = sum(cache == link.cache for cache, _ in self.in_flight.values())
+        self.levels.append((time.monotonic(), link.cache, in_flight_at_cache))
         self.relays.setdefault(id, []).append((time.monotonic(), link.cache))
         self.asked[link.cache] += 1
         if link.cache in self.silent:
             return
-        delay, word, told, body = self.behave(link.cache, id, fields, self.asked[link.cache])
+        delay, word, answer_fields, body = self.behave(link.cache, id, fields, self.asked[link.cache])
         if delay is not None:
             heappush(
-                self._due, (time.monotonic() + delay, next(self._order), link, id, resp(id, word, told, body))
+                self._due,
+                (
+                    time.monotonic() + delay,
+                    next(self._sequence),
+                    link,
+                    id,
+                    resp(id, word, answer_fields, body),
+                ),
             )
 
     def _send(self, link: Link, raw: bytes) -> None:
         try:
             link.sock.sendall(raw)
         except OSError:
-            return  # the front has gone, or takes nothing: what it does then is the test's to judge
+            return  # the front is gone or does not read; the test checks what it does then
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -1,6 +1,6 @@
-"""A stand-in for discovery: a long poll over HTTP/1.1 that is slow, silent, late or ends as a test says.
+"""Simulated discovery: long polls over HTTP/1.1, whose answers a test can delay, withhold or cut off.
 
-It writes down when each answer had been written whole, so that a test can tell when a front was notified.
+It records when each answer was written completely, so that a test knows when a front was notified.
 """
 
 import json
@@ -17,28 +17,28 @@
 
 @dataclass
 class Poll:
-    """One request of a front: over which connection, from which event on, and when (monotonic seconds)."""
+    """One poll of a front: its connection, the event that it asks from, and its time (monotonic seconds)."""
 
     connection: int
     since: int
     asked_at: float
-    hold: float  # s that the front lets it wait for events
-    answered_at: float = 0.0  # 0: not written whole
-    told: int = 0  # the last event in its answer
+    hold: float  # s that the poll may wait for events
+    answered_at: float = 0.0  # when its answer was written completely; 0: it was not
+    told: int = 0  # last event in its answer
 
 
 @dataclass
 class Discovery:
-    """The change log as one front sees it; events are numbered from 2, after the list of the start."""
+    """Discovery as one front sees it; events are numbered from 2, as 1 is the endpoint list of the start."""
 
     news: News = field(default_factory=News)
     events: list[dict[str, Any]] = field(default_factory=list)
     polls: list[Poll] = field(default_factory=list)
-    delay: float = 0.0  # s from when an answer is due to when it is written
+    delay: float = 0.0  # s by which each answer is delayed
     silent: set[int] = field(default_factory=set)  # connections (by number, from 1) that are never answered
-    ends: set[int] = field(default_factory=set)  # connections that end instead of an answer
+    ends: set[int] = field(default_factory=set)  # connections that are closed instead of answered
     connections: int = 0
-    gate: anyio.Event | None = None  # no answer is written before it is set
+    gate: anyio.Event | None = None  # holds all answers until it is set
 
     def tell(self, **event: Any) -> int:
         """Add an event and return its number."""
@@ -47,12 +47,12 @@
         return len(self.events) + 1
 
     def drain(self, line: dict[str, Any]) -> int:
-        """Tell that an endpoint drains, and return the event's number."""
+        """Add the event that an endpoint drains, and return its number."""
         changed = [line | {"status": "leaving"}]
         return self.tell(fleet={"index": len(self.events) + 2, "snapshot": False, "endpoints": changed})
 
     def notified_at(self, event: int) -> float | None:
-        """Return when the first answer that holds an event had been written whole (monotonic seconds)."""
+        """Return when the first answer with an event was written completely (monotonic seconds), or None."""
         times = [poll.answered_at for poll in self.polls if poll.since < event <= poll.told]
         return min(times, default=None)
 
@@ -65,8 +65,8 @@
             while True:
                 head = (await reader.receive_until(b"\r\n\r\n", 4096)).decode()
                 since = int(head.split("since=")[1].split("&")[0])
-                hold = int(head.split("timeout=")[1].split()[0]) / 1000.0
-                poll = Poll(number, since, time.monotonic(), hold)
+                timeout = int(head.split("timeout=")[1].split()[0]) / 1000.0
+                poll = Poll(number, since, time.monotonic(), timeout)
                 self.polls.append(poll)
                 self.news.tell()
                 if number in self.ends:
@@ -74,19 +74,19 @@
                     return
                 if number in self.silent:
                     await anyio.sleep_forever()
-                await self._answer(stream, poll)
+                await self._answer_poll(stream, poll)
         except ENDS:
             await stream.aclose()
 
-    async def _answer(self, stream: SocketStream, poll: Poll) -> None:
+    async def _answer_poll(self, stream: SocketStream, poll: Poll) -> None:
         with anyio.move_on_after(poll.hold):
             await self.news.until(lambda: len(self.events) + 1 > poll.since)
         last = len(self.events) + 1
-        new = [event for event in self.events if event["seq"] > poll.since]
+        new_events = [event for event in self.events if event["seq"] > poll.since]
         if self.gate is not None:
             await self.gate.wait()
         await anyio.sleep(self.delay)
-        text = json.dumps({"seq": last, "results": new}).encode()
-        await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
+        body = json.dumps({"seq": last, "results": new_events}).encode()
+        await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         poll.answered_at, poll.told = time.monotonic(), last
         self.news.tell()
--- a/tests/standins/scripted.py
+++ b/tests/standins/scripted.py
@@ -1,7 +1,8 @@
-"""A world in virtual time for one front: scripted caches that answer as told, and a record that judges.
+"""Simulates one front in virtual time among scripted caches, and checks the rules of the service.
 
-It checks the rules by itself from what it saw, not from what the module says: one final answer in time, one
-relay out at a time and none past the cut-off, no effect twice.
+The checks use only the front's actions and the caches' replies, not the front's own state: one final answer
+in time, one relay in flight at a time and none past the deadline, no effect twice. A pull is a client's
+request and a relay one attempt of it.
 """
 
 from collections.abc import Callable
@@ -18,7 +19,7 @@
 
 @dataclass
 class Said:
-    """What a cache does with a relay: after `delay` ms it ends so; None: it never answers."""
+    """A cache's reply to a relay, after `delay` ms; None means that it never answers."""
 
     delay: float | None
     outcome: i.Outcome = i.Outcome.OK
@@ -29,18 +30,18 @@
 
 
 @dataclass
-class Story:
-    """What happened to one pull."""
+class PullRecord:
+    """What happened to one pull; times are ms of the simulation."""
 
     pull: i.Pull
     at: float
-    cut_off: float
-    quoted: float
+    deadline: float
+    target_at: float
     sent: list[tuple[float, i.Relay]] = field(default_factory=list)
-    ran: list[tuple[float, int]] = field(default_factory=list)  # when sent and where, if it may have run
-    looks_lacking: int = 0  # looks that were answered with a miss
+    ran: list[tuple[float, int]] = field(default_factory=list)  # time and cache of relays that may have run
+    cache_misses: int = 0  # cache lookups answered with a miss
     finals: list[tuple[float, str]] = field(default_factory=list)
-    out: int | None = None  # number of the relay that is out
+    in_flight: int | None = None  # number of the relay in flight
 
 
 class World:
@@ -51,143 +52,150 @@
         self.front = Front(seed, settings)
         self.cells = {entry.cache: entry.cell for entry in listed}
         self.now = 0.0
-        self._order = count()
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self.stories: dict[int, Story] = {}
-        self.broken: list[str] = []
-        self.further = 0  # relays sent after a failure of their pull
+        self._sequence = count()
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self.stories: dict[int, PullRecord] = {}
+        self.breaches: list[str] = []
+        self.further = 0  # relays sent after a failed relay of the same pull
         self.first = 0
-        self.sent_at: list[tuple[float, bool]] = []  # of each first or further relay; further?
-        self._failed: dict[int, int] = {}
+        self.sent_at: list[
+            tuple[float, bool]
+        ] = []  # of each first or further relay: time, whether it is a further one
+        self._failed_relays: dict[int, int] = {}
         self.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, listed))
 
     def at(self, due: float, run: Callable[[], None]) -> None:
-        """Have something done at a time."""
-        heappush(self._due, (due, next(self._order), run))
+        """Schedule a call."""
+        heappush(self._events, (due, next(self._sequence), run))
 
     def run(self, until: float = float("inf")) -> None:
-        """Let time pass."""
-        while self._due and self._due[0][0] <= until:
-            self.now, _, run = heappop(self._due)
+        """Run scheduled calls up to a time."""
+        while self._events and self._events[0][0] <= until:
+            self.now, _, run = heappop(self._events)
             run()
 
     def pull(self, due: float, pull: i.Pull) -> None:
-        """Have a client ask at a time."""
+        """Schedule a client's pull."""
 
-        def ask() -> None:
+        def start() -> None:
             rules = self.settings.workloads[pull.workload]
-            sending = pull.size_kb / self.settings.stream_rate
-            quoted = self.now + min(
-                rules.target_latency + rules.target_latency_factor * sending, pull.time_left
+            transfer_time = pull.size_kb / self.settings.stream_rate
+            target_at = self.now + min(
+                rules.target_latency + rules.target_latency_factor * transfer_time, pull.time_left
             )
-            self.stories[pull.id] = Story(pull, self.now, self.now + pull.time_left, quoted)
+            self.stories[pull.id] = PullRecord(pull, self.now, self.now + pull.time_left, target_at)
             self.tell(pull)
 
-        self.at(due, ask)
+        self.at(due, start)
 
     def tell(self, event: i.Event) -> None:
-        """Hand an event to the module and carry out what it asks for."""
+        """Pass an event to the front and carry out its actions."""
         for action in self.front.handle(self.now, event):
             match action:
                 case i.Relay():
-                    self._relay(action)
+                    self._start_relay(action)
                 case i.Recall():
                     story = self.stories[action.id]
-                    if story.out == action.relay:
-                        self._recalled(action)
+                    if story.in_flight == action.relay:
+                        self._cancel_relay(action)
                 case i.StartTimer():
-                    self._wake(action)
+                    self._start_timer(action)
                 case i.Shed():
-                    self._final(action.id, "shed")
+                    self._record_final(action.id, "shed")
                 case i.Error():
-                    self._final(action.id, "errored")
+                    self._record_final(action.id, "errored")
 
-    def _recalled(self, recall: i.Recall) -> None:
-        self.at(self.now, lambda: self._end(recall.id, recall.relay, Said(0.0, i.Outcome.CANCELLED)))
+    def _cancel_relay(self, recall: i.Recall) -> None:
+        self.at(self.now, lambda: self._end_relay(recall.id, recall.relay, Said(0.0, i.Outcome.CANCELLED)))
 
-    def _wake(self, wake: i.StartTimer) -> None:
-        self.at(self.now + wake.delay, lambda: self.tell(i.TimerFired(wake.timer_id)))
+    def _start_timer(self, timer: i.StartTimer) -> None:
+        self.at(self.now + timer.delay, lambda: self.tell(i.TimerFired(timer.timer_id)))
 
-    def _breach(self, pull: int, what: str) -> None:
-        self.broken.append(f"{self.now:g} pull {pull}: {what}")
+    def _add_breach(self, pull: int, what: str) -> None:
+        self.breaches.append(f"{self.now:g} pull {pull}: {what}")
 
-    def _final(self, pull: int, kind: str) -> None:
+    def _record_final(self, pull: int, kind: str) -> None:
         story = self.stories[pull]
         if story.finals:
-            self._breach(pull, f"{kind} after {story.finals[0][1]}")
-        if self.now > story.cut_off + 1e-6:
-            self._breach(pull, f"{kind} past its cut-off")
+            self._add_breach(pull, f"{kind} after {story.finals[0][1]}")
+        if self.now > story.deadline + 1e-6:
+            self._add_breach(pull, f"{kind} past its deadline")
         rules = self.settings.workloads[story.pull.workload]
         if kind == "shed" and story.ran and rules.idempotency is i.Idempotency.ONCE_ONLY:
-            self._breach(pull, "shed though it may have run")
+            self._add_breach(pull, "shed though it may have run")
         story.finals.append((self.now, kind))
 
-    def _relay(self, relay: i.Relay) -> None:
+    def _start_relay(self, relay: i.Relay) -> None:
         story = self.stories[relay.id]
-        if story.out is not None:
-            self._breach(relay.id, "two relays out")
+        if story.in_flight is not None:
+            self._add_breach(relay.id, "two relays in flight")
         if story.finals:
-            self._breach(relay.id, "a relay after its answer")
-        if self.now >= story.cut_off or self.now + relay.timeout > story.cut_off + 1e-6:
-            self._breach(relay.id, "a relay past its cut-off")
+            self._add_breach(relay.id, "a relay after its answer")
+        if self.now >= story.deadline or self.now + relay.timeout > story.deadline + 1e-6:
+            self._add_breach(relay.id, "a relay past its deadline")
         rules = self.settings.workloads[story.pull.workload]
         if story.ran:
-            at, where = story.ran[0]
+            at, first_cache = story.ran[0]
             if rules.idempotency is i.Idempotency.ONCE_ONLY:
-                self._breach(relay.id, "a once-only pull that may have run is sent again")
+                self._add_breach(relay.id, "a non-idempotent pull that may have run is sent again")
             if rules.idempotency is i.Idempotency.TAGGED:
                 if self.now >= at + rules.dedup_window:
-                    self._breach(relay.id, "a tagged pull is sent again past its window")
-                if rules.dedup_scope is i.DedupScope.CELL and self.cells[relay.cache] != self.cells[where]:
-                    self._breach(relay.id, "a tagged pull is sent outside its group")
+                    self._add_breach(relay.id, "a pull with idempotency key is sent again past its window")
+                if (
+                    rules.dedup_scope is i.DedupScope.CELL
+                    and self.cells[relay.cache] != self.cells[first_cache]
+                ):
+                    self._add_breach(relay.id, "a pull with idempotency key is sent outside its cell")
         number = len(story.sent)
-        failed = self._failed.get(relay.id, 0) > 0
+        failed = self._failed_relays.get(relay.id, 0) > 0
         if failed or number == 0:
             self.sent_at.append((self.now, failed))
             self.further += failed
             self.first += not failed
         story.sent.append((self.now, relay))
-        story.out = number
-        said = self.behave(self.now, relay, story.pull, self.chance)
-        if said.delay is None or said.delay > relay.timeout:
-            late = Said(0.0, i.Outcome.TIMEOUT)
-            self.at(self.now + relay.timeout, lambda: self._end(relay.id, number, late))
+        story.in_flight = number
+        reply = self.behave(self.now, relay, story.pull, self.chance)
+        if reply.delay is None or reply.delay > relay.timeout:
+            timed_out = Said(0.0, i.Outcome.TIMEOUT)
+            self.at(self.now + relay.timeout, lambda: self._end_relay(relay.id, number, timed_out))
         else:
-            self.at(self.now + said.delay, lambda: self._end(relay.id, number, said))
+            self.at(self.now + reply.delay, lambda: self._end_relay(relay.id, number, reply))
 
-    def _end(self, pull: int, number: int, said: Said) -> None:
+    def _end_relay(self, pull: int, number: int, reply: Said) -> None:
         story = self.stories[pull]
-        if story.out != number:
-            return  # it was given up; what comes late is dropped
-        story.out = None
+        if story.in_flight != number:
+            return  # it was cancelled; the late reply is dropped
+        story.in_flight = None
         sent, relay = story.sent[number]
-        if said.outcome in MAY_HAVE_RUN:
+        if reply.outcome in MAY_HAVE_RUN:
             story.ran.append((sent, relay.cache))
-        lacks = said.outcome is i.Outcome.MISS and relay.source == relay.cache
-        story.looks_lacking += lacks
-        if said.outcome is not i.Outcome.OK and not lacks:
-            self._failed[pull] = self._failed.get(pull, 0) + 1
-        served = said.outcome is i.Outcome.OK and not story.finals
+        is_miss = reply.outcome is i.Outcome.MISS and relay.source == relay.cache
+        story.cache_misses += is_miss
+        if reply.outcome is not i.Outcome.OK and not is_miss:
+            self._failed_relays[pull] = self._failed_relays.get(pull, 0) + 1
+        served = reply.outcome is i.Outcome.OK and not story.finals
         if served:
-            self._final(pull, "finished")
+            self._record_final(pull, "finished")
         self.tell(
             i.RelayEnded(
-                pull, number, relay.cache, said.outcome, said.remark, self.now - sent, 0.0, served, ()
+                pull, number, relay.cache, reply.outcome, reply.remark, self.now - sent, 0.0, served, ()
             )
         )
 
     def judge(self) -> list[str]:
-        """Return each breach of a rule, pulls without an answer among them."""
-        lost = [f"pull {number}: no answer" for number, story in self.stories.items() if not story.finals]
-        held = [f"pull {number}: still held by the module" for number in self.front.pending]
-        return [*self.broken, *lost, *held]
+        """Return all breaches of a rule, with pulls that have no answer or that the front still holds."""
+        unanswered = [
+            f"pull {number}: no answer" for number, story in self.stories.items() if not story.finals
+        ]
+        still_pending = [f"pull {number}: still pending in the front" for number in self.front.pending]
+        return [*self.breaches, *unanswered, *still_pending]
 
     def gain(self) -> float:
-        """Return the gain answered within the quoted time over the gain asked for."""
-        asked = got = 0.0
+        """Return the gain of pulls answered within their target latency, as a share of all pulls' gain."""
+        offered = earned = 0.0
         for story in self.stories.values():
-            worth = self.settings.workloads[story.pull.workload].gain
-            asked += worth
-            if story.finals and story.finals[0][1] == "finished" and story.finals[0][0] <= story.quoted:
-                got += worth
-        return got / asked
+            gain = self.settings.workloads[story.pull.workload].gain
+            offered += gain
+            if story.finals and story.finals[0][1] == "finished" and story.finals[0][0] <= story.target_at:
+                earned += gain
+        return earned / offered
