--- a/bench/fleet_model.py
+++ b/bench/fleet_model.py
@@ -98,9 +98,9 @@
             number += 1
             object_id = int(2000 * fleet.random.random() ** 2)
 
-            def send_pull(front: int = front, number: int = number, wanted: int = object_id) -> None:
+            def send_pull(front: int = front, number: int = number, object_id: int = object_id) -> None:
                 fleet.pulled_at[front, number] = fleet.now
-                fleet.tell(front, i.Pull(number, wanted, 0, 0, 2000.0, False, 50.0, 3))
+                fleet.tell(front, i.Pull(number, object_id, 0, 0, 2000.0, False, 50.0, 3))
 
             fleet.at(at + 1.0, send_pull)
 
@@ -264,7 +264,7 @@
         fleet.at(500.0 * arguments.seconds, end_reader)
         fleet.at(500.0 * arguments.seconds + TAKEOVER_MS, elect_reader)
     fleet.play(arguments.seconds * 1000.0)
-    delays = [at - event * 5000.0 for heard in received_at for event, at in heard.items()]
+    delays = [at - event * 5000.0 for times in received_at for event, at in times.items()]
     return poll_count, max(delays)
 
 
@@ -284,14 +284,17 @@
     parser.add_argument("--seeds", type=int, default=3)
     arguments = parser.parse_args()
     for seed in range(1, arguments.seeds + 1):
-        counts_by_variant = {way: run(arguments, seed, way) for way in ("nobody", "each", "shared")}
+        counts_by_variant = {
+            variant: run(arguments, seed, variant) for variant in ("nobody", "each", "shared")
+        }
         for variant, counts in counts_by_variant.items():
             figures = ", ".join(f"{name} {counts[name]}" for name in sorted(counts))
             print(f"seed {seed} {variant}: {figures}")
         shared = counts_by_variant["shared"]
         probe_ratio = counts_by_variant["each"]["probes"] / max(shared["probes"], 1)
         failure_ratios = [
-            shared["failures"] / max(counts_by_variant[way]["failures"], 1) for way in ("nobody", "each")
+            shared["failures"] / max(counts_by_variant[variant]["failures"], 1)
+            for variant in ("nobody", "each")
         ]
         print(f"seed {seed}: probes 1/{probe_ratio:.0f} of each", end="; ")
         print(f"failures {failure_ratios[0]:.2f} of nobody, {failure_ratios[1]:.2f} of each")
--- a/bench/flood.py
+++ b/bench/flood.py
@@ -68,12 +68,14 @@
     variants = {"eager": 0.0, "100 ms": 100.0, "1 s": 1000.0}
     runs: dict[str, list[dict[str, float]]] = {variant: [] for variant in variants}
     for _ in range(arguments.rounds):
-        for way, spread in variants.items():
-            runs[way].append(await measure(arguments, spread))
+        for variant, spread in variants.items():
+            runs[variant].append(await measure(arguments, spread))
     fronts = arguments.processes * arguments.members
     print(f"{fronts} fronts in {arguments.processes} processes, {arguments.tasks} tasks, TTL {TTL_MS:g} ms")
     for key in runs["eager"][0]:
-        figures = "  |  ".join(f"{way}: " + ", ".join(f"{run[key]:.2f}" for run in runs[way]) for way in runs)
+        figures = "  |  ".join(
+            f"{variant}: " + ", ".join(f"{run[key]:.2f}" for run in runs[variant]) for variant in runs
+        )
         print(f"{key}: {figures}")
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -42,7 +42,7 @@
 
 async def measure_limits(rounds: int, only: str) -> None:
     """Run each case with both allocations, in turns; `only` selects the cases whose name contains it."""
-    print("fault | way | most in a window, by the limit | used after 4 s, mean")
+    print("fault | allocation | max in a window, by the limit | used after 4 s, mean")
     for name, (rate, fault) in LIMIT_CASES.items():
         for _ in range(rounds if only in name else 0):
             # Without sharing, faults of the service do not reach a front: there is nothing to compare.
@@ -73,7 +73,7 @@
 
 async def measure_relays(rounds: int, only: str) -> None:
     """Run each case with the cap shared, and the case without fault also in equal parts, in turns."""
-    print("fault | way | most out at a cache, by the cap | mean from 5 s on, by the cap | relays a second")
+    print("fault | allocation | max in flight at a cache, by the cap | mean from 5 s on | relays a second")
     for name, (demand_period, fault) in RELAY_CASES.items():
         for _ in range(rounds if only in name else 0):
             variants = {"shared": fault}
@@ -102,7 +102,7 @@
 
 async def measure_retries(rounds: int, only: str) -> None:
     """Do the same for further relays during an outage, with nearly all demand at one front."""
-    print("fault | way | most further relays in a second, by what the fleet may | mean from 5 s on")
+    print("fault | allocation | max further relays in a second, by the fleet's limit | mean from 5 s on")
     for name, fault in RETRY_CASES.items():
         for _ in range(rounds if only in name else 0):
             variants = {"shared": fault}
--- a/bench/limits_model.py
+++ b/bench/limits_model.py
@@ -102,10 +102,10 @@
 
     def send_pull(front: int, rate: float) -> None:
         pull_numbers[front] += 1
-        wanted = random.randrange(1 << 32)
+        object_id = random.randrange(1 << 32)
         fleet.pulled_at[front, pull_numbers[front]] = fleet.now
         size = TRANSFER_MS * front_settings.stream_rate
-        fleet.tell(front, i.Pull(pull_numbers[front], wanted, 0, 0, 2000.0, False, size, 3))
+        fleet.tell(front, i.Pull(pull_numbers[front], object_id, 0, 0, 2000.0, False, size, 3))
         fleet.at(fleet.now + 1000.0 * random.expovariate(rate), lambda: send_pull(front, rate))
 
     for front in range(arguments.fronts):
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -71,8 +71,8 @@
 async def main(arguments: argparse.Namespace) -> None:
     # The baseline (every candidate campaigns without reading the key first) alternates with reading it.
     variants = {"campaign in full": ("--no-look",), "read the key first": ()}
-    durations: dict[str, list[float]] = {way: [] for way in variants}
-    calls_by_variant: dict[str, dict[str, float]] = {way: {} for way in variants}
+    durations: dict[str, list[float]] = {variant: [] for variant in variants}
+    calls_by_variant: dict[str, dict[str, float]] = {variant: {} for variant in variants}
     for _ in range(2):
         for variant, extra in variants.items():
             durations[variant] += await measure_failover(arguments.kills // 2, extra)
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -45,8 +45,8 @@
         "error": Said(2.0, i.Outcome.ERROR, i.Remark.NONE),
     }
 
-    def behave(now: float, relay: i.Relay, pull: i.Pull, chance: Random) -> Said:
-        return replies[kind] if 5_000.0 <= now < 15_000.0 else one_slow_cache(0.0, relay, pull, chance)
+    def behave(now: float, relay: i.Relay, pull: i.Pull, random: Random) -> Said:
+        return replies[kind] if 5_000.0 <= now < 15_000.0 else one_slow_cache(0.0, relay, pull, random)
 
     return behave
 
--- a/tests/standins/scripted.py
+++ b/tests/standins/scripted.py
@@ -48,7 +48,7 @@
     """One front among scripted caches."""
 
     def __init__(self, settings: i.Settings, listed: tuple[i.CacheEntry, ...], behave: Behave, seed: int = 1):
-        self.settings, self.behave, self.chance = settings, behave, Random(seed)
+        self.settings, self.behave, self.random = settings, behave, Random(seed)
         self.front = Front(seed, settings)
         self.cells = {entry.cache: entry.cell for entry in listed}
         self.now = 0.0
@@ -154,7 +154,7 @@
             self.first += not failed
         story.sent.append((self.now, relay))
         story.in_flight = number
-        reply = self.behave(self.now, relay, story.pull, self.chance)
+        reply = self.behave(self.now, relay, story.pull, self.random)
         if reply.delay is None or reply.delay > relay.timeout:
             timed_out = Said(0.0, i.Outcome.TIMEOUT)
             self.at(self.now + relay.timeout, lambda: self._end_relay(relay.id, number, timed_out))
