--- a/cometseam/cli/levels.py
+++ b/cometseam/cli/levels.py
@@ -15,21 +15,21 @@
 app = typer.Typer(help="Levels of reduced service.", no_args_is_help=True)
 
 
-def _scheme(
-    file: Path, against: Path | None, as_json: bool, refused_is: int = 2
+def _load_level_policy(
+    file: Path, against: Path | None, as_json: bool, invalid_exit_status: int = 2
 ) -> tuple[LevelPolicy, list[str]]:
-    loaded = load_file(file, against, as_json, refused_is)
-    scheme = loaded.compiled.level_policy
-    if scheme is None:
+    loaded = load_file(file, against, as_json, invalid_exit_status)
+    policy = loaded.compiled.level_policy
+    if policy is None:
         exit_with_error(f"{file}: it sets no levels")
-    return scheme, signal_names(loaded.compiler.platform.names.workloads)
+    return policy, signal_names(loaded.compiler.platform.names.workloads)
 
 
 @app.command()
 def check(file: FileArgument, against: ConfigOption = None, as_json: JsonOption = False) -> None:
     """Check the levels with all of the file, and print them. Status 1 where the file may not be loaded."""
-    scheme, _ = _scheme(file, against, as_json, refused_is=1)
-    told = [
+    policy, _ = _load_level_policy(file, against, as_json, invalid_exit_status=1)
+    levels = [
         {
             "level": level.name,
             "enter": str(level.enter),
@@ -37,14 +37,14 @@
             "stay_s": level.stay / 1000.0,
             "ramp_s": level.ramp / 1000.0,
         }
-        for level in scheme.levels
+        for level in policy.levels
     ]
     if as_json:
-        print(json.dumps({"good": True, "levels": told}))
+        print(json.dumps({"good": True, "levels": levels}))
         return
-    for each in told:
-        print(f"{each['level']}: stays {each['stay_s']:g}s at least, comes back over {each['ramp_s']:g}s")
-        print(f"  in:  {each['enter']}\n  out: {each['leave']}")
+    for entry in levels:
+        print(f"{entry['level']}: stays {entry['stay_s']:g}s at least, comes back over {entry['ramp_s']:g}s")
+        print(f"  in:  {entry['enter']}\n  out: {entry['leave']}")
 
 
 @app.command(name="replay")
@@ -57,36 +57,40 @@
     as_json: JsonOption = False,
 ) -> None:
     """Tell which changes of level a recorded or written series of signals makes, and the time in each."""
-    scheme, names = _scheme(file, against, as_json)
+    policy, names = _load_level_policy(file, against, as_json)
     try:
         rows = parse_series(series.read_text(), names)
     except OSError as error:
         exit_with_error(f"{series}: {error.strerror}")
     except (SeriesError, UnicodeDecodeError) as error:
         exit_with_error(f"{series}: {error}")
-    done = replay(scheme, rows, seed)
+    result = replay(policy, rows, seed)
     changes: list[dict[str, Any]] = [
         {
-            "t": at / 1000.0,
-            "before": scheme.level_name(change.before),
-            "after": scheme.level_name(change.after),
+            "t": time_ms / 1000.0,
+            "before": policy.level_name(change.before),
+            "after": policy.level_name(change.after),
             "why": change.reason,
             "values": change.values,
         }
-        for at, change in done.changes
+        for time_ms, change in result.changes
     ]
     if plot is not None:
-        _plot(plot, series.name, scheme, rows, done, seed)
+        _plot(plot, series.name, policy, rows, result, seed)
     if as_json:
-        print(json.dumps({"changes": changes, "seconds_in": done.seconds_by_level}))
+        print(json.dumps({"changes": changes, "seconds_in": result.seconds_by_level}))
         return
-    for each in changes:
-        told = " ".join(f"{name}={value:g}" for name, value in each["values"].items() if value is not None)
-        print(f"{each['t']:9.2f}s  {each['before']} to {each['after']}: {each['why']}; {told}")
-    print("in " + ", ".join(f"{name} {time:.1f}s" for name, time in done.seconds_by_level.items()))
+    for entry in changes:
+        signals = " ".join(
+            f"{name}={value:g}" for name, value in entry["values"].items() if value is not None
+        )
+        print(f"{entry['t']:9.2f}s  {entry['before']} to {entry['after']}: {entry['why']}; {signals}")
+    print("in " + ", ".join(f"{name} {seconds:.1f}s" for name, seconds in result.seconds_by_level.items()))
 
 
-def _plot(path: Path, name: str, scheme: LevelPolicy, rows: list[Row], done: ReplayResult, seed: int) -> None:
+def _plot(
+    path: Path, name: str, policy: LevelPolicy, rows: list[Row], result: ReplayResult, seed: int
+) -> None:
     try:
         import matplotlib
     except ModuleNotFoundError:
@@ -94,21 +98,21 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, (above, below) = pyplot.subplots(2, 1, sharex=True, figsize=(9, 5))
+    figure, (signal_axes, level_axes) = pyplot.subplots(2, 1, sharex=True, figsize=(9, 5))
     times = [row.at / 1000.0 for row in rows]
     for signal in rows[0].values:
-        above.plot(times, [row.values[signal] for row in rows], label=signal, linewidth=0.9)
-    above.legend(loc="upper right", fontsize=8)
-    above.set_ylabel("signals")
-    below.step(times, done.levels, where="post", color="black")
-    below.set_yticks(
-        range(len(scheme.levels) + 1), [scheme.level_name(n) for n in range(len(scheme.levels) + 1)]
+        signal_axes.plot(times, [row.values[signal] for row in rows], label=signal, linewidth=0.9)
+    signal_axes.legend(loc="upper right", fontsize=8)
+    signal_axes.set_ylabel("signals")
+    level_axes.step(times, result.levels, where="post", color="black")
+    level_axes.set_yticks(
+        range(len(policy.levels) + 1), [policy.level_name(number) for number in range(len(policy.levels) + 1)]
     )
-    shares = below.twinx()
-    shares.fill_between(times, done.shares, alpha=0.25)
-    shares.set_ylim(0.0, 1.0)
-    shares.set_ylabel("largest share shed")
-    below.set_xlabel(f"s; {name}, seed {seed}")
+    share_axes = level_axes.twinx()
+    share_axes.fill_between(times, result.shares, alpha=0.25)
+    share_axes.set_ylim(0.0, 1.0)
+    share_axes.set_ylabel("largest share shed")
+    level_axes.set_xlabel(f"s; {name}, seed {seed}")
     figure.tight_layout()
     figure.savefig(path, dpi=110)
 
@@ -123,25 +127,25 @@
     as_json: JsonOption = False,
 ) -> None:
     """Tell what would have to change to leave a level, up or down. Status 1 where nothing keeps it there."""
-    scheme, names = _scheme(file, against, as_json)
-    number = scheme.level_number(level)
+    policy, names = _load_level_policy(file, against, as_json)
+    number = policy.level_number(level)
     if number is None:
-        levels = ", ".join(scheme.level_name(each) for each in range(len(scheme.levels) + 1))
+        levels = ", ".join(policy.level_name(signal_value) for signal_value in range(len(policy.levels) + 1))
         exit_with_error(f"--level: {level!r} is no level; they are {levels}")
     values: dict[str, float | None] = {}
-    for each in signal:
-        name, _, value = each.partition("=")
+    for signal_value in signal:
+        name, _, value = signal_value.partition("=")
         try:
             values[name] = float(value)
         except ValueError:
-            exit_with_error(f"--signal: a value was expected, as link=1.3, not {each!r}")
+            exit_with_error(f"--signal: a value was expected, as link=1.3, not {signal_value!r}")
         if name not in names:
             exit_with_error(f"--signal: {name!r} is no signal; known are {', '.join(names)}")
-    machine = LevelStateMachine(scheme, Random(0), number)
-    machine.since_change_ms = 1000.0 * stayed
-    told = machine.explain(values)
+    state_machine = LevelStateMachine(policy, Random(0), number)
+    state_machine.since_change_ms = 1000.0 * stayed
+    lines = state_machine.explain(values)
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(lines))
     else:
-        print("\n".join(told))
-    raise typer.Exit(1 if any(line.endswith(": now") for line in told) else 0)
+        print("\n".join(lines))
+    raise typer.Exit(1 if any(line.endswith(": now") for line in lines) else 0)
--- a/cometseam/cli/loading.py
+++ b/cometseam/cli/loading.py
@@ -33,8 +33,8 @@
     path = against or Path(os.environ.get(CONFIG_VARIABLE, "") or "deploy/sample.json")
     try:
         section = Section(json.loads(path.read_bytes())).section("settings")
-        for read in (read_settings, read_name_tables, read_network_settings):
-            read(section)
+        for validate in (read_settings, read_name_tables, read_network_settings):
+            validate(section)
     except OSError as error:
         exit_with_error(f"{path}: {error.strerror}")
     except (FieldError, ValueError, RecursionError) as error:
@@ -50,17 +50,17 @@
             exit_with_error(f"{file}: no such file")
         load_in_child(file, settings)
         return load(file, settings)
-    except OperatorFileError as refused:
+    except OperatorFileError as error:
         if as_json:
             faults = [
                 {"path": fault.path, "reason": fault.reason, "place": fault.location}
-                for fault in refused.faults
+                for fault in error.faults
             ]
             print(json.dumps({"good": False, "faults": faults}))
         else:
-            for fault in refused.faults:
+            for fault in error.faults:
                 print(fault, file=sys.stderr)
-        raise typer.Exit(invalid_exit_status) from refused
+        raise typer.Exit(invalid_exit_status) from error
 
 
 def write_compiled_file(path: Path, loaded: LoadedFile, settings: dict[str, Any]) -> None:
@@ -71,9 +71,9 @@
     if not path.name.endswith(COMPILED_FILE_SUFFIX):
         exit_with_error(f"--seal {path}: a front takes a sealed form by a name in {COMPILED_FILE_SUFFIX}")
     text = encode_compiled_file(encode_compiled(loaded.compiled, loaded.network_intervals), settings)
-    part = path.with_name(f".{path.name}.part")
+    temporary_path = path.with_name(f".{path.name}.part")
     try:
-        part.write_bytes(text)
-        os.replace(part, path)
+        temporary_path.write_bytes(text)
+        os.replace(temporary_path, path)
     except OSError as error:
         exit_with_error(f"--seal {path}: {error.strerror}")
--- a/cometseam/cli/main.py
+++ b/cometseam/cli/main.py
@@ -73,27 +73,27 @@
     compiled = loaded.compiled
     if seal is not None:
         write_compiled_file(seal, loaded, load_settings(against))
-    told = {
+    summary = {
         "good": True,
         "digest": compiled.digest,
         "routes": len(loaded.compiler.file.routes),
         "plans": len(compiled.plans.plans),
     }
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(summary))
     else:
-        print(f"good: {told['routes']} routes, {told['plans']} plans, digest {told['digest']}")
+        print(f"good: {summary['routes']} routes, {summary['plans']} plans, digest {summary['digest']}")
 
 
 @app.command()
 def render(file: FileArgument, against: ConfigOption = None, as_json: JsonOption = False) -> None:
     """Print the plans with defaults filled in, and where each value came from."""
     loaded = load_file(file, against, as_json)
-    told = render_plans(loaded.compiler)
+    entries = render_plans(loaded.compiler)
     if as_json:
-        print(json.dumps(told, indent=1))
+        print(json.dumps(entries, indent=1))
         return
-    for entry in told:
+    for entry in entries:
         print(f"{entry['route']} ({entry['workload']})")
         for leaf in entry["values"]:
             print(f"  {leaf['key']:26} {leaf['value']!s:34} {leaf['from']}")
@@ -130,25 +130,25 @@
         exit_with_error(f"--from: an address was expected, not {from_!r}")
     if not 0.0 <= kb < 1e9 or group < 0 or part < 0:
         exit_with_error("--kb, --group and --part: at least 0 was expected")
-    sight = RouteKey(names.index(workload), number, group, part, size_in_bytes(kb), address)
-    told = explain_route(loaded, sight, kb)
+    route_key = RouteKey(names.index(workload), number, group, part, size_in_bytes(kb), address)
+    explanation = explain_route(loaded, route_key, kb)
     if as_json:
-        print(json.dumps(told, indent=1))
+        print(json.dumps(explanation, indent=1))
     else:
-        for miss in told["passed_over"]:
-            print(f"not {miss['route']}: {miss['why']}")
-        print(f"route: {told['route'] or 'none: decided as without a file'}")
-        for name, terms in told["budgets"].items():
+        for passed in explanation["passed_over"]:
+            print(f"not {passed['route']}: {passed['why']}")
+        print(f"route: {explanation['route'] or 'none: decided as without a file'}")
+        for name, terms in explanation["budgets"].items():
             print(f"budget {name}: {terms}")
-        for step in told["steps"]:
+        for step in explanation["steps"]:
             print(f"{step['from']:8.1f} ms  {step['what']}")
-    raise typer.Exit(0 if told["route"] else 1)
+    raise typer.Exit(0 if explanation["route"] else 1)
 
 
 def run_commands() -> int:
     """Run the command that the words name; what typer finds wrong with them is status 2."""
     try:
         app()
-    except SystemExit as ended:
-        return int(ended.code or 0)
+    except SystemExit as exit_request:
+        return int(exit_request.code or 0)
     return 0
--- a/cometseam/cli/show.py
+++ b/cometseam/cli/show.py
@@ -5,50 +5,50 @@
 from cometseam.interface import Plan, RelayKind, RetryBudgetTerms
 from cometseam.operator.compile import BUILT_IN_DEFAULT, Compiler, RouteEntry
 from cometseam.operator.load import LoadedFile
-from cometseam.operator.networks import format_intervals as addresses
+from cometseam.operator.networks import format_intervals as format_intervals
 from cometseam.timing.intervals import Intervals
 from cometseam.timing.retry_policy import max_retry_wait, scaled_duration
 from cometseam.timing.table import AXES, AXIS_ENDS, BYTES_PER_KB, RouteKey, any_contains
 from cometseam.timing.validate import OUTCOME_NAMES, RELAY_KIND_NAMES
 
-OWN = "as the module decides"
+DECIDED_BY_PROGRAM = "as the module decides"
 
 
-def _leaves(plan: Plan) -> dict[str, Any]:
+def _plan_values(plan: Plan) -> dict[str, Any]:
     """Return the leaves of a plan by their key in the file."""
-    out: dict[str, Any] = {}
+    values: dict[str, Any] = {}
     for kind in RelayKind:
-        for place, name in enumerate(("first", "further")):
-            span = plan.time_outs[kind][place]
+        for index, name in enumerate(("first", "further")):
+            span = plan.time_outs[kind][index]
             if span is not None:
                 text = f"{span.base:g}ms + {span.part:g} of its sending time"
             else:
-                text = OWN if place == 0 or plan.time_outs[kind][0] is None else "as first"
-            out[f"time_outs.{RELAY_KIND_NAMES[kind]}.{name}"] = text
-    out["relays"] = plan.relays or OWN
+                text = DECIDED_BY_PROGRAM if index == 0 or plan.time_outs[kind][0] is None else "as first"
+            values[f"time_outs.{RELAY_KIND_NAMES[kind]}.{name}"] = text
+    values["relays"] = plan.relays or DECIDED_BY_PROGRAM
     jitter = f", jitter {plan.jitter:g}"
-    out["wait"] = (
+    values["wait"] = (
         f"{plan.wait:g}ms, growth {plan.growth:g}, most {plan.longest_wait:g}ms{jitter}"
         if plan.wait
         else "none"
     )
     second = plan.second
-    out["second"] = f"after {second.base:g}ms + {second.part:g} of its sending time" if second else "none"
-    out["retry_on"] = (
-        "all" if plan.worth is None else ", ".join(sorted(OUTCOME_NAMES[word] for word in plan.worth))
+    values["second"] = f"after {second.base:g}ms + {second.part:g} of its sending time" if second else "none"
+    values["retry_on"] = (
+        "all" if plan.worth is None else ", ".join(sorted(OUTCOME_NAMES[outcome] for outcome in plan.worth))
     )
     terms = plan.allowance
-    out["budget"] = f"{terms.name}: {_allows(terms)}" if terms else "none"
-    out["later"] = f"{plan.come_back_in:g}ms" if plan.come_back_in else "the workload's quoted time"
-    return out
+    values["budget"] = f"{terms.name}: {_format_budget(terms)}" if terms else "none"
+    values["later"] = f"{plan.come_back_in:g}ms" if plan.come_back_in else "the workload's quoted time"
+    return values
 
 
-def _allows(terms: RetryBudgetTerms) -> str:
+def _format_budget(terms: RetryBudgetTerms) -> str:
     fleet = f", the fleet {terms.fleet:g} at most" if terms.fleet else ""
     return f"{terms.share:g} of first relays in {terms.window:g}ms, {terms.floor:g} at least{fleet}"
 
 
-def _from(entry: RouteEntry, key: str) -> str:
+def _value_source(entry: RouteEntry, key: str) -> str:
     while key:
         if key in entry.value_sources:
             return entry.value_sources[key]
@@ -64,19 +64,19 @@
             "route": entry.name,
             "workload": names[entry.workload],
             "values": [
-                {"key": key, "value": value, "from": _from(entry, key)}
-                for key, value in _leaves(entry.plan).items()
+                {"key": key, "value": value, "from": _value_source(entry, key)}
+                for key, value in _plan_values(entry.plan).items()
             ],
         }
         for entry in compiler.entries
     ]
 
 
-def _wanted(axis: int, intervals: Intervals, names: tuple[str, ...]) -> str:
+def _format_axis(axis: int, intervals: Intervals, names: tuple[str, ...]) -> str:
     if AXES[axis] == "workload":
         return ", ".join(names[number] for low, high in intervals for number in range(low, high))
     if AXES[axis] == "address":
-        return addresses(intervals)
+        return format_intervals(intervals)
     if AXES[axis] == "object":
         return ", ".join(f"{low:016x}-{high - 1:016x}" for low, high in intervals[:3])
     if AXES[axis] == "size":
@@ -88,34 +88,34 @@
     return ", ".join(f"{low}" if high == low + 1 else f"{low}-{high - 1}" for low, high in intervals[:3])
 
 
-def explain_route(loaded: LoadedFile, sight: RouteKey, kb: float) -> dict[str, Any]:
+def explain_route(loaded: LoadedFile, route_key: RouteKey, kb: float) -> dict[str, Any]:
     """Return the route taken, why the earlier ones did not match, and the longest course of the relays."""
     compiler: Compiler = loaded.compiler
     table, names = loaded.compiled.table, compiler.platform.names.workloads
-    found = table.find(sight)
-    passed: list[dict[str, str]] = []
-    last = compiler.entries[: found if found >= 0 else None]
-    for entry in last:
-        why = next(
-            f"{AXES[axis]} is not in {_wanted(axis, intervals, names)}"
+    found = table.find(route_key)
+    passed_over: list[dict[str, str]] = []
+    earlier_entries = compiler.entries[: found if found >= 0 else None]
+    for entry in earlier_entries:
+        reason = next(
+            f"{AXES[axis]} is not in {_format_axis(axis, intervals, names)}"
             for axis, intervals in enumerate(entry.box)
-            if not any_contains(intervals, sight[axis])
+            if not any_contains(intervals, route_key[axis])
         )
-        passed.append({"route": entry.name, "why": why})
+        passed_over.append({"route": entry.name, "why": reason})
     steps: list[dict[str, Any]] = []
     budgets: dict[str, str] = {}
     if found >= 0:
         plan = compiler.entries[found].plan
-        steps = worst_case_steps(plan, compiler, sight.workload, kb)
+        steps = worst_case_steps(plan, compiler, route_key.workload, kb)
         plans = loaded.compiled.plans
-        network = table.find_network(sight.address)
-        theirs = plans.network_budgets[network] if network >= 0 else None
-        for terms in (plans.front_budget, theirs, plan.allowance):
+        network = table.find_network(route_key.address)
+        network_budget = plans.network_budgets[network] if network >= 0 else None
+        for terms in (plans.front_budget, network_budget, plan.allowance):
             if terms is not None:
-                budgets[terms.name] = _allows(terms)
+                budgets[terms.name] = _format_budget(terms)
     return {
         "route": compiler.entries[found].name if found >= 0 else None,
-        "passed_over": passed,
+        "passed_over": passed_over,
         "budgets": budgets,
         "steps": steps,
     }
@@ -126,32 +126,38 @@
     settings = compiler.platform.settings
     rules = settings.workloads[workload]
     sending = kb / settings.stream_rate if settings.stream_rate else 0.0
-    quoted = min(rules.target_latency + rules.target_latency_factor * sending, rules.deadline)
+    target_latency = min(rules.target_latency + rules.target_latency_factor * sending, rules.deadline)
     steps: list[dict[str, Any]] = []
-    at = 0.0
+    elapsed = 0.0
 
-    def step(what: str) -> None:
-        steps.append({"from": round(at, 3), "what": what})
+    def add_step(what: str) -> None:
+        steps.append({"from": round(elapsed, 3), "what": what})
 
     for number in range(plan.relays or settings.relay_limit):
-        if number and (rest := max_retry_wait(plan, number)):
-            step(f"wait up to {rest:g} ms")
-            at += rest
-        if at + sending > rules.deadline:
-            step("given up at once: nothing could come before the cut-off")
+        if number and (wait := max_retry_wait(plan, number)):
+            add_step(f"wait up to {wait:g} ms")
+            elapsed += wait
+        if elapsed + sending > rules.deadline:
+            add_step("given up at once: nothing could come before the cut-off")
             return steps
-        times = []
+        time_outs = []
         for kind in RelayKind:
             span = plan.time_outs[kind][int(number > 0)] or plan.time_outs[kind][0]
             if span is not None:
-                times.append((scaled_duration(span, sending), RELAY_KIND_NAMES[kind]))
-        told = ", ".join(f"{name} until {at + time:g}" for time, name in times) or f"time-outs {OWN}"
-        step(f"relay {number + 1}: {told}")
+                time_outs.append((scaled_duration(span, sending), RELAY_KIND_NAMES[kind]))
+        limits = (
+            ", ".join(f"{name} until {elapsed + time:g}" for time, name in time_outs)
+            or f"time-outs {DECIDED_BY_PROGRAM}"
+        )
+        add_step(f"relay {number + 1}: {limits}")
         if plan.second is not None and number + 1 < (plan.relays or settings.relay_limit):
-            after = scaled_duration(plan.second, sending)
-            step(f"  given up at {at + after:g} for a second copy elsewhere, where one may go")
-        if not times:
+            delay = scaled_duration(plan.second, sending)
+            add_step(f"  given up at {elapsed + delay:g} for a second copy elsewhere, where one may go")
+        if not time_outs:
             break
-        at += max(time for time, _ in times)
-    step(f"at the latest; quoted time {quoted:g} ms, cut-off {rules.deadline:g} ms, sending {sending:g} ms")
+        elapsed += max(time for time, _ in time_outs)
+    add_step(
+        f"at the latest; quoted time {target_latency:g} ms, cut-off {rules.deadline:g} ms, "
+        f"sending {sending:g} ms"
+    )
     return steps
--- a/cometseam/cli/soak.py
+++ b/cometseam/cli/soak.py
@@ -11,7 +11,7 @@
 from cometseam.soak import Outcome, SoakTerms, run_seed
 
 SAMPLE = Path(__file__).parents[2] / "deploy" / "sample.json"
-SHOWN = 5  # violations of a seed that are printed
+MAX_SHOWN_VIOLATIONS = 5  # violations of a seed that are printed
 
 
 def soak(
@@ -27,16 +27,16 @@
 
     Loopback only. Status 1 where a rule was broken; each failing seed is printed with what replays it.
     """
-    given = json.loads(config.read_text())
+    front_config = json.loads(config.read_text())
     terms = SoakTerms(seconds=seconds, fronts=fronts)
     outcomes: list[Outcome] = []
 
     async def run_all() -> None:
-        left = iter(range(seed, seed + count))
+        seeds = iter(range(seed, seed + count))
 
         async def worker() -> None:
-            for each in left:
-                arguments = (each, terms, given, out / str(each))
+            for number in seeds:
+                arguments = (number, terms, front_config, out / str(number))
                 outcome = await anyio.to_process.run_sync(_run, *arguments, cancellable=True)
                 outcomes.append(outcome)
                 _print(outcome, seconds, fronts)
@@ -58,14 +58,14 @@
 
 def _print(outcome: Outcome, seconds: float, fronts: int) -> None:
     faults = " ".join(f"{kind}={times}" for kind, times in sorted(outcome.acted.items()))
-    named = enumerate(("served", "shed", "failed"), 1)
-    codes = " ".join(f"{name}={outcome.codes[code]}" for code, name in named)
+    code_names = enumerate(("served", "shed", "failed"), 1)
+    codes = " ".join(f"{name}={outcome.codes[code]}" for code, name in code_names)
     lag = f"own lag {outcome.lag * 1000.0:.0f} ms"
     verdict = f"{len(outcome.violations)} violations" if outcome.violations else "passed"
     print(f"seed {outcome.seed}: {verdict}; {codes}; {lag}; {faults}", flush=True)
-    for violation in outcome.violations[:SHOWN]:
+    for violation in outcome.violations[:MAX_SHOWN_VIOLATIONS]:
         print(f"  {violation.rule}: {violation.what}")
     if outcome.violations:
         print(f"  timeline: {outcome.timeline}")
-        again = f"--seed {outcome.seed} --seconds {seconds:g} --fronts {fronts}"
-        print(f"  replay: cometseam soak {again}", flush=True)
+        options = f"--seed {outcome.seed} --seconds {seconds:g} --fronts {fronts}"
+        print(f"  replay: cometseam soak {options}", flush=True)
--- a/cometseam/operator/compile.py
+++ b/cometseam/operator/compile.py
@@ -24,7 +24,7 @@
 
 Path = tuple[str | int, ...]
 BUILT_IN_DEFAULT = "the default of the program"
-LEAVES = ("time_outs", "relays", "wait", "second", "retry_on", "budget", "later", "until")
+PLAN_KEYS = ("time_outs", "relays", "wait", "second", "retry_on", "budget", "later", "until")
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,158 +45,173 @@
     def __init__(self, file: FileForm, platform: Platform) -> None:
         self.file, self.platform = file, platform
         self.faults: list[tuple[Path, str]] = []
-        self._told: set[tuple[Path, str]] = set()
+        self._reported: set[tuple[Path, str]] = set()
         self.entries: list[RouteEntry] = []
-        self._workloads = {name: place for place, name in enumerate(platform.names.workloads)}
+        self._workload_numbers = {name: number for number, name in enumerate(platform.names.workloads)}
         for name in file.workloads:
-            if name not in self._workloads:
-                self._complain(("workloads", name), self._unknown(name))
+            if name not in self._workload_numbers:
+                self._report_fault(("workloads", name), self._unknown_workload(name))
         for name in file.largest:
-            if name not in self._workloads:
-                self._complain(("largest", name), self._unknown(name))
-        self.networks = Networks(file.networks, self._complain)
-        self._budgets_apart()
-        self._routes()
-        self._fallbacks()
-        self.level_policy = build_level_policy(file.levels, platform, self.file.routes, self._complain)
-        self.fleet = fleet.check_fleet(file.fleet, platform.settings, self._complain)
-        self._budgets_of_the_fleet()
-
-    def _complain(self, path: Path, reason: str) -> None:
-        if (path, reason) not in self._told:
-            self._told.add((path, reason))
+            if name not in self._workload_numbers:
+                self._report_fault(("largest", name), self._unknown_workload(name))
+        self.networks = Networks(file.networks, self._report_fault)
+        self._check_budget_networks_disjoint()
+        self._add_routes()
+        self._add_workload_entries()
+        self.level_policy = build_level_policy(file.levels, platform, self.file.routes, self._report_fault)
+        self.fleet = fleet.check_fleet(file.fleet, platform.settings, self._report_fault)
+        self._check_fleet_budgets()
+
+    def _report_fault(self, path: Path, reason: str) -> None:
+        if (path, reason) not in self._reported:
+            self._reported.add((path, reason))
             self.faults.append((path, reason))
 
-    def _unknown(self, name: str) -> str:
-        return f"the settings have no workload {name!r}; they have {', '.join(self._workloads)}"
+    def _unknown_workload(self, name: str) -> str:
+        return f"the settings have no workload {name!r}; they have {', '.join(self._workload_numbers)}"
 
     # Networks
 
-    def _budgets_of_the_fleet(self) -> None:
+    def _check_fleet_budgets(self) -> None:
         """What a budget allows the fleet must be shared out by somebody."""
         file = self.file
         if file.fleet is not None and file.fleet.limits is not None:
             return
-        held: list[tuple[Path, BudgetForm | None]] = [(("front",), file.front.budget)]
-        held += [(("networks", name), form.budget) for name, form in file.networks.items()]
-        plans = [(("default",), file.default), *((("workloads", n), p) for n, p in file.workloads.items())]
-        held += [(path, plan.budget) for path, plan in plans]
-        held += [(("routes", place, "plan"), route.plan.budget) for place, route in enumerate(file.routes)]
-        for path, budget in held:
+        budgets: list[tuple[Path, BudgetForm | None]] = [(("front",), file.front.budget)]
+        budgets += [(("networks", name), form.budget) for name, form in file.networks.items()]
+        plans = [
+            (("default",), file.default),
+            *((("workloads", workload), plan_form) for workload, plan_form in file.workloads.items()),
+        ]
+        budgets += [(path, plan.budget) for path, plan in plans]
+        budgets += [(("routes", index, "plan"), route.plan.budget) for index, route in enumerate(file.routes)]
+        for path, budget in budgets:
             if budget is not None and budget.fleet is not None:
-                self._complain(
+                self._report_fault(
                     (*path, "budget", "fleet"), "the file has no fleet.limits: nobody would share it out"
                 )
 
-    def _budgets_apart(self) -> None:
+    def _check_budget_networks_disjoint(self) -> None:
         """A client's network must be one, where it is to have a budget of its own."""
         with_budget = [name for name, form in self.file.networks.items() if form.budget is not None]
-        for place, name in enumerate(with_budget):
-            for earlier in with_budget[:place]:
-                both = intersection(self.networks.intervals[name], self.networks.intervals[earlier])
-                if both:
-                    self._complain(
+        for index, name in enumerate(with_budget):
+            for earlier in with_budget[:index]:
+                overlap = intersection(self.networks.intervals[name], self.networks.intervals[earlier])
+                if overlap:
+                    self._report_fault(
                         ("networks", name, "budget"),
-                        f"{name} and {earlier} overlap in {format_intervals(both)}, and both have a budget",
+                        f"{name} and {earlier} overlap in {format_intervals(overlap)}, "
+                        "and both have a budget",
                     )
 
     # Routes
 
-    def _routes(self) -> None:
+    def _add_routes(self) -> None:
         seen: dict[str, int] = {}
         boxes: list[Box] = []
-        places: list[int] = []
-        for place, route in enumerate(self.file.routes):
+        route_indices: list[int] = []
+        for route_index, route in enumerate(self.file.routes):
             if route.name in seen:
                 first = seen[route.name]
-                self._complain(("routes", place, "name"), f"{route.name!r} names routes[{first}] too")
-            seen.setdefault(route.name, place)
-            box = self._box(place, route.match)
+                self._report_fault(
+                    ("routes", route_index, "name"), f"{route.name!r} names routes[{first}] too"
+                )
+            seen.setdefault(route.name, route_index)
+            box = self._match_box(route_index, route.match)
             if box is None:
                 continue
             boxes.append(box)
-            places.append(place)
-            self.entries += self._entries(place, route, box)
-        for at, by in covered_routes(boxes).items():
-            place, names = places[at], [self.file.routes[places[other]].name for other in by]
-            self._complain(("routes", place), f"it can never match: {', '.join(names[:6])} cover it")
-        self._contradictions(boxes, places)
-
-    def _contradictions(self, boxes: list[Box], places: list[int]) -> None:
+            route_indices.append(route_index)
+            self.entries += self._route_entries(route_index, route, box)
+        for box_index, covering in covered_routes(boxes).items():
+            route_index, names = (
+                route_indices[box_index],
+                [self.file.routes[route_indices[other]].name for other in covering],
+            )
+            self._report_fault(
+                ("routes", route_index), f"it can never match: {', '.join(names[:6])} cover it"
+            )
+        self._check_contradictions(boxes, route_indices)
+
+    def _check_contradictions(self, boxes: list[Box], route_indices: list[int]) -> None:
         """Routes that differ in overlapping networks alone, neither within the other, and contradict."""
-        for at, others in enumerate(overlapping_earlier(boxes)):
-            mine = self.file.routes[places[at]]
-            for other in others if mine.match.networks else ():
-                theirs = self.file.routes[places[other]]
-                if not theirs.match.networks or boxes[at][:5] != boxes[other][:5]:
+        for index, others in enumerate(overlapping_earlier(boxes)):
+            route = self.file.routes[route_indices[index]]
+            for other in others if route.match.networks else ():
+                other_route = self.file.routes[route_indices[other]]
+                if not other_route.match.networks or boxes[index][:5] != boxes[other][:5]:
                     continue
-                one, two = boxes[at][5], boxes[other][5]
-                both = intersection(one, two)
-                if difference(one, two) and difference(two, one) and mine.plan != theirs.plan:
-                    self._complain(
-                        ("routes", places[at], "match", "networks"),
-                        f"{format_intervals(both)} is in the networks of {theirs.name} too, "
+                addresses, other_addresses = boxes[index][5], boxes[other][5]
+                overlap = intersection(addresses, other_addresses)
+                if (
+                    difference(addresses, other_addresses)
+                    and difference(other_addresses, addresses)
+                    and route.plan != other_route.plan
+                ):
+                    self._report_fault(
+                        ("routes", route_indices[index], "match", "networks"),
+                        f"{format_intervals(overlap)} is in the networks of {other_route.name} too, "
                         "and their plans contradict; exclude it from one of them",
                     )
 
-    def _box(self, place: int, match: MatchForm) -> Box | None:
-        path: Path = ("routes", place, "match")
+    def _match_box(self, route_index: int, match: MatchForm) -> Box | None:
+        path: Path = ("routes", route_index, "match")
         box = list(universal_box())
-        count = len(self._workloads)
+        count = len(self._workload_numbers)
         box[0] = ((0, count),) if count else ()
         if match.workload is not None:
             found = []
-            for at, name in enumerate(match.workload):
-                if name in self._workloads:
-                    found.append((self._workloads[name], self._workloads[name] + 1))
+            for index, name in enumerate(match.workload):
+                if name in self._workload_numbers:
+                    found.append((self._workload_numbers[name], self._workload_numbers[name] + 1))
                 else:
-                    self._complain((*path, "workload", at), self._unknown(name))
+                    self._report_fault((*path, "workload", index), self._unknown_workload(name))
             box[0] = union(found)
         if match.objects is not None:
-            box[1] = union([_objects(form.prefix, form.from_, form.to) for form in match.objects])
+            box[1] = union([_object_range(form.prefix, form.from_, form.to) for form in match.objects])
         for axis, ranges in ((2, match.groups), (3, match.parts)):
             if ranges is not None:
-                box[axis] = union([_range(form.from_, form.to, AXIS_ENDS[axis]) for form in ranges])
+                box[axis] = union([_number_range(form.from_, form.to, AXIS_ENDS[axis]) for form in ranges])
         if match.size is not None:
             high = AXIS_ENDS[4] if match.size.to is None else min(int(match.size.to), AXIS_ENDS[4])
             box[4] = union([(int(match.size.from_), high)])
         if match.networks is not None:
             addresses: list[tuple[int, int]] = []
-            for at, name in enumerate(match.networks):
+            for index, name in enumerate(match.networks):
                 if name in self.networks.intervals:
                     addresses += self.networks.intervals[name]
                 else:
                     known = ", ".join(self.networks.intervals) or "none"
-                    self._complain((*path, "networks", at), f"{name!r} is no set in networks: {known}")
+                    self._report_fault((*path, "networks", index), f"{name!r} is no set in networks: {known}")
             box[5] = union(addresses)
         return tuple(box) if all(box) else None
 
-    def _entries(self, place: int, route: RouteForm, box: Box) -> Iterator[RouteEntry]:
+    def _route_entries(self, route_index: int, route: RouteForm, box: Box) -> Iterator[RouteEntry]:
         for number in (number for low, high in box[0] for number in range(low, high)):
-            mine = self._clipped((((number, number + 1),), *box[1:]), number)
-            if mine is None:
+            clipped = self._clip_to_largest((((number, number + 1),), *box[1:]), number)
+            if clipped is None:
                 name = self.platform.names.workloads[number]
-                at = ("routes", place, "match", "size")
-                most = self.file.largest[name]
-                self._complain(at, f"no {name} are so large: largest.{name} is {most:g} bytes")
+                path = ("routes", route_index, "match", "size")
+                largest = self.file.largest[name]
+                self._report_fault(path, f"no {name} are so large: largest.{name} is {largest:g} bytes")
                 continue
-            plan, origins = self._resolve(number, route)
-            self._prove(plan, origins, number, mine, place)
-            yield RouteEntry(route.name, place, number, plan, origins, mine)
+            plan, value_sources = self._resolve(number, route)
+            self._validate(plan, value_sources, number, clipped, route_index)
+            yield RouteEntry(route.name, route_index, number, plan, value_sources, clipped)
 
-    def _clipped(self, box: Box, workload: int) -> Box | None:
+    def _clip_to_largest(self, box: Box, workload: int) -> Box | None:
         """Take out pulls larger than the file says there are: no plan is proved for them, none is given."""
-        most = self.file.largest.get(self.platform.names.workloads[workload])
-        sizes = box[4] if most is None else intersection(box[4], ((0, int(most) + 1),))
+        largest = self.file.largest.get(self.platform.names.workloads[workload])
+        sizes = box[4] if largest is None else intersection(box[4], ((0, int(largest) + 1),))
         return (*box[:4], sizes, box[5]) if sizes else None
 
-    def _fallbacks(self) -> None:
-        for name, number in self._workloads.items():
-            plan, origins = self._resolve(number, None)
-            box = self._clipped((((number, number + 1),), *universal_box()[1:]), number)
+    def _add_workload_entries(self) -> None:
+        for name, number in self._workload_numbers.items():
+            plan, value_sources = self._resolve(number, None)
+            box = self._clip_to_largest((((number, number + 1),), *universal_box()[1:]), number)
             assert box is not None  # a largest size of nothing holds that one
-            self._prove(plan, origins, number, box, -1)
-            self.entries.append(RouteEntry(f"workload {name}", -1, number, plan, origins, box))
+            self._validate(plan, value_sources, number, box, -1)
+            self.entries.append(RouteEntry(f"workload {name}", -1, number, plan, value_sources, box))
 
     # Plans
 
@@ -204,68 +219,78 @@
         """Return the plan of a workload under a route, and where each of its leaves came from."""
         name = self.platform.names.workloads[workload]
         merged: dict[str, Any] = {}
-        origins: dict[str, str] = {}
+        value_sources: dict[str, str] = {}
         layers: list[tuple[str, PlanForm]] = [("default", self.file.default)]
         if name in self.file.workloads:
             layers.append((f"workloads.{name}", self.file.workloads[name]))
         if route is not None:
             layers.append((f"routes[{self.file.routes.index(route)}]", route.plan))
-        for origin, form in layers:
-            _merge(merged, form.model_dump(exclude_unset=True), "", origin, origins)
-        for leaf in LEAVES:
-            origins.setdefault(leaf, BUILT_IN_DEFAULT)
-        shared = origins["budget"]
-        if route is not None and shared.startswith("routes["):
-            shared = f"route {route.name}"
-        return _plan(merged, route.name if route is not None else f"workload {name}", shared), origins
-
-    def _prove(self, plan: Plan, origins: dict[str, str], workload: int, box: Box, place: int) -> None:
+        for source, form in layers:
+            _merge_layer(merged, form.model_dump(exclude_unset=True), "", source, value_sources)
+        for leaf in PLAN_KEYS:
+            value_sources.setdefault(leaf, BUILT_IN_DEFAULT)
+        budget_name = value_sources["budget"]
+        if route is not None and budget_name.startswith("routes["):
+            budget_name = f"route {route.name}"
+        return _build_plan(
+            merged, route.name if route is not None else f"workload {name}", budget_name
+        ), value_sources
+
+    def _validate(
+        self, plan: Plan, value_sources: dict[str, str], workload: int, box: Box, route_index: int
+    ) -> None:
         """Have a plan proved; a fault is told where the value that is at fault stands."""
         settings, links = self.platform.settings, self.platform.links
-        rules, pace = settings.workloads[workload], settings.stream_rate
+        rules, stream_rate = settings.workloads[workload], settings.stream_rate
         low, high = box[4][0][0] / BYTES_PER_KB, box[4][-1][1] / BYTES_PER_KB
         name = self.platform.names.workloads[workload]
-        terms = PlanContext(
+        context = PlanContext(
             name,
             rules,
-            min(low / pace, rules.deadline) if pace else 0.0,
+            min(low / stream_rate, rules.deadline) if stream_rate else 0.0,
             # A pull that takes longer to send than its cut-off can't be served by any plan.
-            min((high - 1 / BYTES_PER_KB) / pace, rules.deadline) if pace else 0.0,
+            min((high - 1 / BYTES_PER_KB) / stream_rate, rules.deadline) if stream_rate else 0.0,
             links.connect_timeout,
-            origins.get("~until") == "cut-off",
-            origins.get("~where") == "any",
+            value_sources.get("~until") == "cut-off",
+            value_sources.get("~where") == "any",
         )
-        for key, reason in validate_plan(plan, terms, settings):
-            found = _origin(origins, key)
-            path: Path = (*_split(found), *key.split(".")) if found != BUILT_IN_DEFAULT else _split("default")
-            if found.startswith("routes["):
-                path = ("routes", place, "plan", *key.split("."))
-            elif place >= 0 and found != BUILT_IN_DEFAULT:
-                reason += f" (in route {self.file.routes[place].name})"
-            self._complain(path, reason)
+        for key, reason in validate_plan(plan, context, settings):
+            source = _value_source(value_sources, key)
+            path: Path = (
+                (*_split_path(source), *key.split("."))
+                if source != BUILT_IN_DEFAULT
+                else _split_path("default")
+            )
+            if source.startswith("routes["):
+                path = ("routes", route_index, "plan", *key.split("."))
+            elif route_index >= 0 and source != BUILT_IN_DEFAULT:
+                reason += f" (in route {self.file.routes[route_index].name})"
+            self._report_fault(path, reason)
 
     # The result
 
     def build(self, digest: str) -> tuple[CompiledConfig, list[Intervals]]:
         """Return what serving holds, and the intervals of networks with a budget. There must be no fault."""
-        plans: dict[Plan, int] = {}
-        routes = tuple((plans.setdefault(entry.plan, len(plans)), entry.box) for entry in self.entries)
-        grower = RouteTreeBuilder([entry.box for entry in self.entries])
-        grower.build()
+        plan_numbers: dict[Plan, int] = {}
+        routes = tuple(
+            (plan_numbers.setdefault(entry.plan, len(plan_numbers)), entry.box) for entry in self.entries
+        )
+        tree_builder = RouteTreeBuilder([entry.box for entry in self.entries])
+        tree_builder.build()
         with_budget = [(name, form) for name, form in self.file.networks.items() if form.budget is not None]
         intervals = [self.networks.intervals[name] for name, _ in with_budget]
-        told_plans = Plans(
-            tuple(plans),
-            tuple(_allowance(f"network {name}", form.budget) for name, form in with_budget),
-            _allowance("front", self.file.front.budget),
+        plans = Plans(
+            tuple(plan_numbers),
+            tuple(_retry_budget_terms(f"network {name}", form.budget) for name, form in with_budget),
+            _retry_budget_terms("front", self.file.front.budget),
         )
-        trees = (tuple(grower.roots), tuple(grower.nodes), tuple(grower.leaves))
+        trees = (tuple(tree_builder.roots), tuple(tree_builder.nodes), tuple(tree_builder.leaves))
         table = RouteTable(routes, *trees, tuple(intervals))
         names = tuple(entry.name for entry in self.entries)
-        return CompiledConfig(digest, told_plans, names, table, self.level_policy, self.fleet), intervals
+        return CompiledConfig(digest, plans, names, table, self.level_policy, self.fleet), intervals
 
 
-def _objects(prefix: str | None, low: str | None, high: str | None) -> tuple[int, int]:
+def _object_range(prefix: str | None, low: str | None, high: str | None) -> tuple[int, int]:
     if prefix is not None:
         low = high = prefix
     first = int((low or "0").ljust(16, "0"), 16)
@@ -273,75 +298,79 @@
     return first, last + 1
 
 
-def _range(low: int, high: int | None, end: int) -> tuple[int, int]:
+def _number_range(low: int, high: int | None, end: int) -> tuple[int, int]:
     return low, end if high is None else min(high + 1, end)
 
 
-def _merge(
-    into: dict[str, Any], given: dict[str, Any], path: str, origin: str, origins: dict[str, str]
+def _merge_layer(
+    target: dict[str, Any], layer: dict[str, Any], path: str, source: str, value_sources: dict[str, str]
 ) -> None:
-    for key, value in given.items():
-        leaf = f"{path}.{key}" if path else key
-        old = into.get(key)
+    for key, value in layer.items():
+        leaf_path = f"{path}.{key}" if path else key
+        inherited = target.get(key)
         if isinstance(value, dict) and key not in ("budget", "second", "wait") and not _is_span(value):
-            into[key] = dict(old) if isinstance(old, dict) else {}
-            _merge(into[key], value, leaf, origin, origins)
+            target[key] = dict(inherited) if isinstance(inherited, dict) else {}
+            _merge_layer(target[key], value, leaf_path, source, value_sources)
         else:
-            into[key] = value
-        origins[leaf] = origin
+            target[key] = value
+        value_sources[leaf_path] = source
         if key == "until" and value is not None:
-            origins["~until"] = value
+            value_sources["~until"] = value
         if key == "second" and isinstance(value, dict):
-            origins["~where"] = value.get("where", "group")
+            value_sources["~where"] = value.get("where", "group")
 
 
 def _is_span(value: dict[str, Any]) -> bool:
     return bool(value.keys() & {"base", "part"})
 
 
-def _origin(origins: dict[str, str], key: str) -> str:
+def _value_source(value_sources: dict[str, str], key: str) -> str:
     while key:
-        if key in origins:
-            return origins[key]
+        if key in value_sources:
+            return value_sources[key]
         key = key.rpartition(".")[0]
     return BUILT_IN_DEFAULT
 
 
-def _split(origin: str) -> Path:
-    return tuple(origin.split("."))
+def _split_path(dotted_path: str) -> Path:
+    return tuple(dotted_path.split("."))
 
 
-def _span(value: Any) -> ScaledDuration | None:
+def _scaled_duration(value: Any) -> ScaledDuration | None:
     return None if value is None else ScaledDuration(value.get("base", 0.0), value.get("part", 0.0))
 
 
-def _allowance(name: str, value: BudgetForm | dict[str, Any] | None) -> RetryBudgetTerms | None:
+def _retry_budget_terms(name: str, value: BudgetForm | dict[str, Any] | None) -> RetryBudgetTerms | None:
     if value is None:
         return None
     form = value if isinstance(value, BudgetForm) else BudgetForm.model_construct(**value)
     return RetryBudgetTerms(name, form.share, form.window, form.floor, float(form.fleet or 0))
 
 
-def _plan(merged: dict[str, Any], name: str, shared: str) -> Plan:
+def _build_plan(merged: dict[str, Any], name: str, budget_name: str) -> Plan:
     time_outs = merged.get("time_outs") or {}
     wait, second, worth = merged.get("wait"), merged.get("second"), merged.get("retry_on")
-    times = []
+    time_outs_by_kind = []
     for kind in RelayKind:
-        given = time_outs.get(kind.name.lower()) or {}
-        times.append((_span(given.get("first")), _span(given.get("further"))))
+        kind_time_outs = time_outs.get(kind.name.lower()) or {}
+        time_outs_by_kind.append(
+            (_scaled_duration(kind_time_outs.get("first")), _scaled_duration(kind_time_outs.get("further")))
+        )
     base = wait["base"] if wait else 0.0
-    most = (wait.get("most") if wait else None) or base * (wait.get("growth", 2.0) if wait else 1.0) ** 10
+    longest_wait = (wait.get("most") if wait else None) or base * (
+        wait.get("growth", 2.0) if wait else 1.0
+    ) ** 10
     return Plan(
         name=name,
-        time_outs=tuple(times),
+        time_outs=tuple(time_outs_by_kind),
         relays=merged.get("relays"),
         wait=base,
         growth=wait.get("growth", 2.0) if wait else 1.0,
-        longest_wait=most,
+        longest_wait=longest_wait,
         jitter=wait.get("jitter", 0.0) if wait else 0.0,
-        second=_span(second["after"]) if second else None,
-        worth=None if worth is None else frozenset(OUTCOMES_BY_NAME[word] for word in worth),
+        second=_scaled_duration(second["after"]) if second else None,
+        worth=None if worth is None else frozenset(OUTCOMES_BY_NAME[outcome] for outcome in worth),
         come_back_in=merged.get("later"),
         # A budget is shared by all pulls of the part of the file that sets it.
-        allowance=_allowance(shared, merged.get("budget")),
+        allowance=_retry_budget_terms(budget_name, merged.get("budget")),
     )
--- a/cometseam/operator/compiled.py
+++ b/cometseam/operator/compiled.py
@@ -53,11 +53,11 @@
     fleet: dict[str, Any] | None = None  # the part in the fleet, as `fleet.parse_fleet_config` takes it
 
 
-def _allowance(value: Any) -> RetryBudgetTerms | None:
+def _retry_budget_terms(value: Any) -> RetryBudgetTerms | None:
     return None if value is None else RetryBudgetTerms(**value)
 
 
-def _span(value: Any) -> ScaledDuration | None:
+def _scaled_duration(value: Any) -> ScaledDuration | None:
     return None if value is None else ScaledDuration(*value)
 
 
@@ -72,27 +72,30 @@
 def plan_from_json(values: dict[str, Any]) -> Plan:
     """Return the plan that such values stand for."""
     values = dict(values)
-    values["time_outs"] = tuple((_span(first), _span(later)) for first, later in values["time_outs"])
-    values["second"] = _span(values["second"])
+    values["time_outs"] = tuple(
+        (_scaled_duration(first), _scaled_duration(later)) for first, later in values["time_outs"]
+    )
+    values["second"] = _scaled_duration(values["second"])
     values["worth"] = None if values["worth"] is None else frozenset(map(Outcome, values["worth"]))
-    values["allowance"] = _allowance(values["allowance"])
+    values["allowance"] = _retry_budget_terms(values["allowance"])
     return Plan(**values)
 
 
-def _condition_to_json(part: CompoundCondition | ThresholdCondition) -> Any:
-    if isinstance(part, ThresholdCondition):
-        return [part.signal, part.above, part.bound, part.lasts]
-    return {"all": part.all, "parts": [_condition_to_json(each) for each in part.parts]}
+def _condition_to_json(condition: CompoundCondition | ThresholdCondition) -> Any:
+    if isinstance(condition, ThresholdCondition):
+        return [condition.signal, condition.above, condition.bound, condition.lasts]
+    return {"all": condition.all, "parts": [_condition_to_json(part) for part in condition.parts]}
 
 
-def _condition(value: Any) -> CompoundCondition:
+def _condition_from_json(value: Any) -> CompoundCondition:
     parts = tuple(
-        ThresholdCondition(*part) if isinstance(part, list) else _condition(part) for part in value["parts"]
+        ThresholdCondition(*part) if isinstance(part, list) else _condition_from_json(part)
+        for part in value["parts"]
     )
     return CompoundCondition(value["all"], parts)
 
 
-def level_policy_to_json(scheme: LevelPolicy) -> dict[str, Any]:
+def level_policy_to_json(policy: LevelPolicy) -> dict[str, Any]:
     """Return levels as plain values."""
     levels = [
         {
@@ -103,20 +106,22 @@
             "stay": level.stay,
             "ramp": level.ramp,
         }
-        for level in scheme.levels
+        for level in policy.levels
     ]
-    more = {name: getattr(scheme, name) for name in ("spread", "calm", "reading", "keep")}
-    return {"levels": levels, **more}
+    timing = {name: getattr(policy, name) for name in ("spread", "calm", "reading", "keep")}
+    return {"levels": levels, **timing}
 
 
 def level_policy_from_json(values: dict[str, Any]) -> LevelPolicy:
     """Return the levels that such values stand for."""
     levels = []
     for level in values["levels"]:
-        told = dict(level["measures"])
-        measures = LevelActions(**{**told, "shed": tuple(ShedShare(**shed) for shed in told["shed"])})
-        conditions = {name: _condition(level[name]) for name in ("enter", "leave")}
-        levels.append(Level(**{**level, **conditions, "measures": measures}))
+        action_values = dict(level["measures"])
+        actions = LevelActions(
+            **{**action_values, "shed": tuple(ShedShare(**shed) for shed in action_values["shed"])}
+        )
+        conditions = {name: _condition_from_json(level[name]) for name in ("enter", "leave")}
+        levels.append(Level(**{**level, **conditions, "measures": actions}))
     return LevelPolicy(**{**values, "levels": tuple(levels)})
 
 
@@ -140,7 +145,7 @@
     return json.dumps(text).encode()
 
 
-def _intervals(values: Any) -> tuple[tuple[int, int], ...]:
+def _intervals_from_json(values: Any) -> tuple[tuple[int, int], ...]:
     return tuple((low, high) for low, high in values)
 
 
@@ -149,15 +154,17 @@
     values = json.loads(text)
     plans = Plans(
         tuple(plan_from_json(plan) for plan in values["plans"]),
-        tuple(_allowance(terms) for terms in values["allowances"]),
-        _allowance(values["front"]),
+        tuple(_retry_budget_terms(terms) for terms in values["allowances"]),
+        _retry_budget_terms(values["front"]),
     )
     table = RouteTable(
-        tuple((plan, tuple(_intervals(axis) for axis in box)) for plan, box in values["routes"]),
-        tuple((first, place) for first, place in values["roots"]),
-        tuple((axis, tuple(cuts), tuple(below)) for axis, cuts, below in values["nodes"]),
+        tuple((plan, tuple(_intervals_from_json(axis) for axis in box)) for plan, box in values["routes"]),
+        tuple((first, child) for first, child in values["roots"]),
+        tuple((axis, tuple(cuts), tuple(children)) for axis, cuts, children in values["nodes"]),
         tuple(tuple(leaf) for leaf in values["leaves"]),
-        tuple(_intervals(network) for network in values["networks"]),
+        tuple(_intervals_from_json(network) for network in values["networks"]),
+    )
+    level_policy = None if values["levels"] is None else level_policy_from_json(values["levels"])
+    return CompiledConfig(
+        values["digest"], plans, tuple(values["names"]), table, level_policy, values.get("fleet")
     )
-    scheme = None if values["levels"] is None else level_policy_from_json(values["levels"])
-    return CompiledConfig(values["digest"], plans, tuple(values["names"]), table, scheme, values.get("fleet"))
--- a/cometseam/operator/compiled_file.py
+++ b/cometseam/operator/compiled_file.py
@@ -24,8 +24,10 @@
 
 from cometseam.operator.compiled import CompiledConfig, Fault, OperatorFileError, decode_compiled
 
-VERSION = 1
-MOST = 16 << 20  # bytes of a sealed form; what `evaluate.MAX_JSON_BYTES` lets a file come to, compiled, fits
+FORMAT_VERSION = 1
+MAX_COMPILED_FILE_BYTES = (
+    16 << 20
+)  # bytes of a sealed form; what `evaluate.MAX_JSON_BYTES` lets a file come to, compiled, fits
 COMPILED_FILE_SUFFIX = ".json"  # an operator's file named so is taken as sealed; any other is Jsonnet
 KEYS = frozenset({"sealed", "against", "check", "compiled"})
 
@@ -36,21 +38,21 @@
     return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
 
-def _check(text: bytes) -> str:
+def _checksum(text: bytes) -> str:
     return hashlib.blake2b(text, digest_size=8).hexdigest()
 
 
 def encode_compiled_file(compiled_text: bytes, settings: dict[str, Any]) -> bytes:
     """Return the sealed form of what `compiled.encode_compiled` wrote, checked against `settings`."""
-    inner = json.loads(compiled_text)
-    canonical = json.dumps(inner, sort_keys=True, separators=(",", ":")).encode()
-    whole = {
-        "sealed": VERSION,
+    compiled = json.loads(compiled_text)
+    canonical = json.dumps(compiled, sort_keys=True, separators=(",", ":")).encode()
+    document = {
+        "sealed": FORMAT_VERSION,
         "against": settings_digest(settings),
-        "check": _check(canonical),
-        "compiled": inner,
+        "check": _checksum(canonical),
+        "compiled": compiled,
     }
-    return json.dumps(whole, sort_keys=True, separators=(",", ":")).encode() + b"\n"
+    return json.dumps(document, sort_keys=True, separators=(",", ":")).encode() + b"\n"
 
 
 def is_compiled_file(path: Path) -> bool:
@@ -58,7 +60,7 @@
     return path.name.endswith(COMPILED_FILE_SUFFIX)
 
 
-def read_bounded(path: Path, max_bytes: int = MOST) -> bytes:
+def read_bounded(path: Path, max_bytes: int = MAX_COMPILED_FILE_BYTES) -> bytes:
     """Read a whole file of at most `max_bytes` bytes; what can't be read is `OperatorFileError`."""
     try:
         with open(path, "rb") as file:
@@ -80,29 +82,29 @@
     a check that does not match (torn or edited), settings that differ, or a compiled part that can't be read.
     """
 
-    def refused(why: str) -> OperatorFileError:
-        return OperatorFileError([Fault("", f"{name}: {why}")])
+    def file_error(reason: str) -> OperatorFileError:
+        return OperatorFileError([Fault("", f"{name}: {reason}")])
 
     try:
-        whole = json.loads(text, parse_constant=_no_constant)
+        document = json.loads(text, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        raise refused("not a sealed form: its JSON can't be read") from error
-    if not isinstance(whole, dict):
-        raise refused("not a sealed form: an object was expected")
-    if (keys := set(whole)) != KEYS:
-        wrong = sorted(keys ^ KEYS)
-        raise refused(f"not a sealed form: keys {', '.join(wrong)} missing or unknown")
-    if type(whole["sealed"]) is not int or whole["sealed"] != VERSION:
-        raise refused(f"sealed by another version ({whole['sealed']!r}); seal it again")
-    canonical = json.dumps(whole["compiled"], sort_keys=True, separators=(",", ":")).encode()
-    if whole["check"] != _check(canonical):
-        raise refused("its check does not match: torn or edited after it was sealed")
-    if whole["against"] != settings_digest(settings):
-        raise refused("sealed against other settings than those that run; seal it again against them")
+        raise file_error("not a sealed form: its JSON can't be read") from error
+    if not isinstance(document, dict):
+        raise file_error("not a sealed form: an object was expected")
+    if (keys := set(document)) != KEYS:
+        mismatched_keys = sorted(keys ^ KEYS)
+        raise file_error(f"not a sealed form: keys {', '.join(mismatched_keys)} missing or unknown")
+    if type(document["sealed"]) is not int or document["sealed"] != FORMAT_VERSION:
+        raise file_error(f"sealed by another version ({document['sealed']!r}); seal it again")
+    canonical = json.dumps(document["compiled"], sort_keys=True, separators=(",", ":")).encode()
+    if document["check"] != _checksum(canonical):
+        raise file_error("its check does not match: torn or edited after it was sealed")
+    if document["against"] != settings_digest(settings):
+        raise file_error("sealed against other settings than those that run; seal it again against them")
     try:
         return decode_compiled(canonical)
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        raise refused(f"its compiled part can't be read ({type(error).__name__})") from error
+        raise file_error(f"its compiled part can't be read ({type(error).__name__})") from error
 
 
 def load_compiled_file(path: Path, settings: dict[str, Any]) -> CompiledConfig:
@@ -110,5 +112,5 @@
     return decode_compiled_file(read_bounded(path), settings, path.name)
 
 
-def _no_constant(word: str) -> Any:
-    raise ValueError(f"{word}: a finite number was expected")
+def _reject_constant(constant: str) -> Any:
+    raise ValueError(f"{constant}: a finite number was expected")
--- a/cometseam/operator/evaluate.py
+++ b/cometseam/operator/evaluate.py
@@ -42,7 +42,7 @@
     def __init__(self, path: Path) -> None:
         self.folder = Path(os.path.realpath(path)).parent
         self.texts: dict[Path, bytes] = {}
-        self._seen: dict[Path, tuple[int, int, int]] = {}
+        self._identities: dict[Path, tuple[int, int, int]] = {}
 
     def read(self, path: Path) -> bytes:
         """Read a file of the folder."""
@@ -63,17 +63,17 @@
             raise ValueError(f"{path.name}: larger than {MAX_FILE_BYTES >> 20} MB")
         if _identity(before) != _identity(after) or len(text) != after.st_size:
             raise ValueError(f"{path.name}: changed while it was read")
-        self.texts[real], self._seen[real] = text, _identity(after)
+        self.texts[real], self._identities[real] = text, _identity(after)
         return text
 
     def verify(self) -> None:
         """Raise where a file is no longer the one that was read: half of an old set and half of a new one."""
-        for path, seen in self._seen.items():
+        for path, expected in self._identities.items():
             try:
-                now = _identity(os.stat(path))
+                current = _identity(os.stat(path))
             except OSError:
-                now = (0, 0, 0)
-            if now != seen:
+                current = (0, 0, 0)
+            if current != expected:
                 raise ValueError(f"{path.name}: changed while the file was read")
 
 
@@ -89,8 +89,8 @@
     def load(folder: str, name: str) -> tuple[str, bytes]:
         if os.path.isabs(name):
             raise ValueError(f"import {name!r}: outside the folder of the file")
-        found = Path(folder or reader.folder) / name
-        return str(found), reader.read(found)
+        import_path = Path(folder or reader.folder) / name
+        return str(import_path), reader.read(import_path)
 
     try:
         main = Path(os.path.realpath(path))
@@ -100,7 +100,7 @@
         )
         if len(text) > MAX_JSON_BYTES:
             raise ValueError(f"it comes to more than {MAX_JSON_BYTES >> 20} MB")
-        value = json.loads(text, parse_constant=_no_constant)
+        value = json.loads(text, parse_constant=_reject_constant)
         reader.verify()
     except OSError as error:
         raise OperatorFileError([Fault("", f"{path}: {error.strerror}")]) from error
@@ -113,51 +113,55 @@
     except ValueError as error:
         raise OperatorFileError([Fault("", str(error))]) from error
     except RuntimeError as error:
-        raise OperatorFileError([_fault(str(error), reader)]) from error
+        raise OperatorFileError([_evaluation_fault(str(error), reader)]) from error
     digest = hashlib.blake2b(digest_size=8)
-    for name, content in sorted(reader.texts.items()):
-        digest.update(str(name.relative_to(reader.folder)).encode() + b"\0" + content + b"\0")
+    for name, source_bytes in sorted(reader.texts.items()):
+        digest.update(str(name.relative_to(reader.folder)).encode() + b"\0" + source_bytes + b"\0")
     sources = {
-        str(name.relative_to(reader.folder)): content.decode(errors="replace")
-        for name, content in reader.texts.items()
+        str(name.relative_to(reader.folder)): source_bytes.decode(errors="replace")
+        for name, source_bytes in reader.texts.items()
     }
     return EvaluatedFile(value, main.name, sources, digest.hexdigest())
 
 
-def _no_constant(word: str) -> Any:
-    raise ValueError(f"{word}: a finite number was expected")
+def _reject_constant(constant: str) -> Any:
+    raise ValueError(f"{constant}: a finite number was expected")
 
 
-def _fault(text: str, reader: Reader) -> Fault:
+def _evaluation_fault(text: str, reader: Reader) -> Fault:
     """Return the one line that matters of what the evaluation says, with its place."""
     folder = str(reader.folder)
     names = {str(path.relative_to(folder)) for path in reader.texts}
     lines = [line.strip() for line in text.strip().splitlines()]
-    why = lines[0]
-    for word in ("STATIC ERROR: ", "RUNTIME ERROR: "):
-        why = why.removeprefix(word)
-    place = ""
-    for line in [why, *lines[1:]]:
-        at = line.find(folder + "/")
-        told = line[at + len(folder) + 1 :].split("\t")[0].split(" ")[0].rstrip(":") if at >= 0 else ""
-        if told.partition(":")[0] in names:
-            place = told
+    reason = lines[0]
+    for prefix in ("STATIC ERROR: ", "RUNTIME ERROR: "):
+        reason = reason.removeprefix(prefix)
+    location = ""
+    for line in [reason, *lines[1:]]:
+        position = line.find(folder + "/")
+        candidate = (
+            line[position + len(folder) + 1 :].split("\t")[0].split(" ")[0].rstrip(":")
+            if position >= 0
+            else ""
+        )
+        if candidate.partition(":")[0] in names:
+            location = candidate
             break
-    name, _, rest = place.partition(":")
-    line_number = rest.lstrip("(").split(":")[0].split("-")[0]
-    if why.startswith(f"{folder}/{name}:"):
-        why = why.split(": ", 1)[-1]
-    why = why.replace(folder + "/", "")
-    if why.startswith("couldn't open import"):
-        why = why.partition(": ")[2].removeprefix("[Errno 2] ")
-    return Fault("", why, f"{name}:{line_number}" if line_number.isdigit() else name)
+    name, _, line_range = location.partition(":")
+    line_number = line_range.lstrip("(").split(":")[0].split("-")[0]
+    if reason.startswith(f"{folder}/{name}:"):
+        reason = reason.split(": ", 1)[-1]
+    reason = reason.replace(folder + "/", "")
+    if reason.startswith("couldn't open import"):
+        reason = reason.partition(": ")[2].removeprefix("[Errno 2] ")
+    return Fault("", reason, f"{name}:{line_number}" if line_number.isdigit() else name)
 
 
 def set_resource_limits(memory: int = MEMORY_LIMIT_BYTES, time: float = TIME_LIMIT_S) -> None:
     """Bound this process: past `time` s an alarm ends it, past `memory` bytes more it gets none."""
     with open("/proc/self/statm") as file:
-        data = int(file.read().split()[5]) * resource.getpagesize()
-    resource.setrlimit(resource.RLIMIT_DATA, (data + memory, resource.RLIM_INFINITY))
+        data_bytes = int(file.read().split()[5]) * resource.getpagesize()
+    resource.setrlimit(resource.RLIMIT_DATA, (data_bytes + memory, resource.RLIM_INFINITY))
     resource.setrlimit(resource.RLIMIT_CORE, (0, 0))
     signal.signal(signal.SIGALRM, signal.SIG_DFL)
     signal.setitimer(signal.ITIMER_REAL, time)
@@ -166,5 +170,5 @@
 def clear_resource_limits() -> None:
     """End the bounds that `set_resource_limits` set."""
     signal.setitimer(signal.ITIMER_REAL, 0.0)
-    _, most = resource.getrlimit(resource.RLIMIT_DATA)
-    resource.setrlimit(resource.RLIMIT_DATA, (most, most))
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_DATA)
+    resource.setrlimit(resource.RLIMIT_DATA, (hard_limit, hard_limit))
--- a/cometseam/operator/fleet.py
+++ b/cometseam/operator/fleet.py
@@ -11,15 +11,15 @@
 
 from cometseam.interface import Settings
 from cometseam.limits import SharingTerms
-from cometseam.limits import SharingTermsError as NotShared
+from cometseam.limits import SharingTermsError as SharingTermsError
 from cometseam.operator.schema import FleetForm
 from cometseam.ownership import OwnershipTerms, OwnershipTermsError
 from cometseam.verdicts import ProbeTerms
 
 Path = tuple[str | int, ...]
 PROBE_TASK, LIST_TASK, LIMITS_TASK = "probe", "list", "limits"
-TASK = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}")
-SECOND = 1000.0
+TASK_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}")
+MS_PER_SECOND = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 def check_fleet(
-    form: FleetForm | None, settings: Settings, complain: Callable[[Path, str], None]
+    form: FleetForm | None, settings: Settings, report_fault: Callable[[Path, str], None]
 ) -> dict[str, Any] | None:
     """Return plain values for `parse_fleet_config`, or None where the file names no fleet; what is wrong is
     told."""
@@ -47,32 +47,32 @@
         return None
     host, _, port = form.service.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        complain(("fleet", "service"), f"{form.service!r} is not host:port")
+        report_fault(("fleet", "service"), f"{form.service!r} is not host:port")
     if not form.tasks:
-        complain(("fleet", "tasks"), "it is empty: a fleet without tasks does nothing")
+        report_fault(("fleet", "tasks"), "it is empty: a fleet without tasks does nothing")
     tasks: dict[str, OwnershipTerms] = {}
     for name, task in form.tasks.items():
         path: Path = ("fleet", "tasks", name)
-        if TASK.fullmatch(name) is None:
-            complain(path, f"{name!r}: letters in lower case, digits and . _ - were expected, 64 at most")
-        if task.ttl < SECOND or task.ttl % SECOND:
-            complain((*path, "ttl"), f"{task.ttl:g} ms: the service grants whole seconds, 1s at least")
+        if TASK_NAME_PATTERN.fullmatch(name) is None:
+            report_fault(path, f"{name!r}: letters in lower case, digits and . _ - were expected, 64 at most")
+        if task.ttl < MS_PER_SECOND or task.ttl % MS_PER_SECOND:
+            report_fault((*path, "ttl"), f"{task.ttl:g} ms: the service grants whole seconds, 1s at least")
             continue
         terms = OwnershipTerms(task.ttl, task.margin, form.drift, task.renew, form.round_trip)
         try:
             terms.check()
-        except OwnershipTermsError as refused:
-            term, _, reason = str(refused).partition(": ")
+        except OwnershipTermsError as error:
+            term, _, reason = str(error).partition(": ")
             key = term.removesuffix("_ms")
-            complain(("fleet", key) if key in ("drift", "round_trip") else (*path, key), reason)
+            report_fault(("fleet", key) if key in ("drift", "round_trip") else (*path, key), reason)
             continue
         tasks[name] = terms
-    probing = _probing(form, tasks, complain)
+    probing = _probe_terms(form, tasks, report_fault)
     if form.log is not None and LIST_TASK not in form.tasks:
-        complain(
+        report_fault(
             ("fleet", "log"), f"fleet.tasks has no {LIST_TASK!r}: nobody would read the log for the others"
         )
-    _limits(form, settings, complain)
+    _check_limits(form, settings, report_fault)
     relays = form.limits.relays if form.limits is not None else None
     return {
         "service": form.service,
@@ -87,60 +87,69 @@
     }
 
 
-def _limits(form: FleetForm, settings: Settings, complain: Callable[[Path, str], None]) -> None:
-    told = form.limits
-    if told is None:
+def _check_limits(form: FleetForm, settings: Settings, report_fault: Callable[[Path, str], None]) -> None:
+    limits = form.limits
+    if limits is None:
         return
     path: Path = ("fleet", "limits")
     if LIMITS_TASK not in form.tasks:
-        complain(path, f"fleet.tasks has no {LIMITS_TASK!r}: nobody would share anything out")
-    if told.refresh < form.round_trip:
-        complain((*path, "refresh"), f"{told.refresh:g} ms is below a round trip, {form.round_trip:g} ms")
+        report_fault(path, f"fleet.tasks has no {LIMITS_TASK!r}: nobody would share anything out")
+    if limits.refresh < form.round_trip:
+        report_fault(
+            (*path, "refresh"), f"{limits.refresh:g} ms is below a round trip, {form.round_trip:g} ms"
+        )
     try:
-        SharingTerms(1, told.lasts, told.refresh, 0.0, form.drift).check()
-    except NotShared as refused:
-        term, _, reason = str(refused).partition(": ")
-        complain((*path, term), reason)
-    if told.relays is not None:
+        SharingTerms(1, limits.lasts, limits.refresh, 0.0, form.drift).check()
+    except SharingTermsError as error:
+        term, _, reason = str(error).partition(": ")
+        report_fault((*path, term), reason)
+    if limits.relays is not None:
         # A front without a grant has an equal part; where that is below one relay it could send nothing.
-        most_here = max(settings.fronts_by_zone, default=1)
-        for key, cap, fronts in (
-            ("caches", told.relays.caches, most_here), ("parents", told.relays.parents, settings.fronts)
+        zone_fronts = max(settings.fronts_by_zone, default=1)
+        for key, max_relays, fronts in (
+            ("caches", limits.relays.caches, zone_fronts), ("parents", limits.relays.parents, settings.fronts)
         ):  # fmt: skip
-            if cap is not None and cap < fronts:
-                complain(
+            if max_relays is not None and max_relays < fronts:
+                report_fault(
                     (*path, "relays", key),
-                    f"{cap} among {fronts} fronts leaves a front without a grant less than one relay",
+                    f"{max_relays} among {fronts} fronts leaves a front without a grant less than one relay",
                 )
 
 
-def _probing(
-    form: FleetForm, tasks: dict[str, OwnershipTerms], complain: Callable[[Path, str], None]
+def _probe_terms(
+    form: FleetForm, tasks: dict[str, OwnershipTerms], report_fault: Callable[[Path, str], None]
 ) -> ProbeTerms:
-    told = form.probing
+    probing_form = form.probing
     path: Path = ("fleet", "probing")
-    if told is None:
+    if probing_form is None:
         probing = ProbeTerms()
         if PROBE_TASK in tasks:  # long enough to outlive a change of prober, whatever its terms
-            holds = max(probing.lasts, 2.0 * (tasks[PROBE_TASK].ttl_ms + tasks[PROBE_TASK].renew_ms))
-            probing = ProbeTerms(lasts=holds)
+            ttl = max(probing.lasts, 2.0 * (tasks[PROBE_TASK].ttl_ms + tasks[PROBE_TASK].renew_ms))
+            probing = ProbeTerms(lasts=ttl)
         return probing
     probing = ProbeTerms(
-        told.interval, told.within, told.fails, told.passes, told.lasts, told.most_bad, told.most_out
+        probing_form.interval,
+        probing_form.within,
+        probing_form.fails,
+        probing_form.passes,
+        probing_form.lasts,
+        probing_form.most_bad,
+        probing_form.most_out,
     )
     if PROBE_TASK not in form.tasks:
-        complain(path, f"fleet.tasks has no {PROBE_TASK!r}: nobody would probe")
+        report_fault(path, f"fleet.tasks has no {PROBE_TASK!r}: nobody would probe")
     if probing.within >= probing.interval:
-        complain(
+        report_fault(
             (*path, "within"), f"{probing.within:g} ms is not below the interval, {probing.interval:g} ms"
         )
     if PROBE_TASK in tasks:
-        least = 1.5 * (tasks[PROBE_TASK].ttl_ms + tasks[PROBE_TASK].renew_ms)
-        if probing.lasts < least:
-            complain(
+        min_ttl = 1.5 * (tasks[PROBE_TASK].ttl_ms + tasks[PROBE_TASK].renew_ms)
+        if probing.lasts < min_ttl:
+            report_fault(
                 (*path, "lasts"),
-                f"{probing.lasts:g} ms ends before another front can have taken the task over: {least:g} ms "
-                "at least (a verdict may be a third of it old when its prober dies)",
+                f"{probing.lasts:g} ms ends before another front can have taken the task over: "
+                f"{min_ttl:g} ms at least "
+                "(a verdict may be a third of it old when its prober dies)",
             )
     return probing
 
--- a/cometseam/operator/levels.py
+++ b/cometseam/operator/levels.py
@@ -16,160 +16,176 @@
 from cometseam.operator.schema import ConditionForm, LevelForm, LevelsForm, RouteForm
 
 Path = tuple[str | int, ...]
-Complain = Callable[[Path, str], None]
+ReportFault = Callable[[Path, str], None]
 
 
 def build_level_policy(
-    form: LevelsForm | None, platform: Platform, routes: list[RouteForm], complain: Complain
+    form: LevelsForm | None, platform: Platform, routes: list[RouteForm], report_fault: ReportFault
 ) -> LevelPolicy | None:
     """Return the scheme that a form stands for; what is wrong is told."""
     if form is None:
         return None
-    reader = _Reader(platform, {route.name for route in routes}, complain)
-    levels = tuple(reader.level(number, step) for number, step in enumerate(form.steps))
+    builder = _LevelBuilder(platform, {route.name for route in routes}, report_fault)
+    levels = tuple(builder.level(number, step) for number, step in enumerate(form.steps))
     names: set[str] = {FULL_SERVICE}
     for number, step in enumerate(form.steps):
         if step.name in names:
-            complain(("levels", "steps", number, "name"), f"{step.name!r} is the name of another level")
+            report_fault(("levels", "steps", number, "name"), f"{step.name!r} is the name of another level")
         names.add(step.name)
     for number in range(1, len(levels)):
         if not is_at_least_as_strict(levels[number].measures, levels[number - 1].measures):
-            complain(
+            report_fault(
                 ("levels", "steps", number, "measures"),
                 f"{levels[number].name} leaves out less than {levels[number - 1].name}, which comes first",
             )
     return LevelPolicy(levels, form.spread, form.calm, form.reading, form.keep)
 
 
-class _Reader:
-    def __init__(self, platform: Platform, routes: set[str], complain: Complain) -> None:
-        self._platform, self._routes, self._complain = platform, routes, complain
+class _LevelBuilder:
+    def __init__(self, platform: Platform, routes: set[str], report_fault: ReportFault) -> None:
+        self._platform, self._routes, self._report_fault = platform, routes, report_fault
         self._workloads = platform.names.workloads
-        self._known = signal_names(self._workloads)
+        self._signal_names = signal_names(self._workloads)
 
     def level(self, number: int, form: LevelForm) -> Level:
         path: Path = ("levels", "steps", number)
         enter = self._condition(form.enter, (*path, "enter"))
         leave = self._condition(form.leave, (*path, "leave"))
-        self._gap(enter, leave, path)
-        return Level(form.name, enter, leave, self._measures(form, path), form.stay, form.ramp)
+        self._check_hysteresis(enter, leave, path)
+        return Level(form.name, enter, leave, self._level_actions(form, path), form.stay, form.ramp)
 
     def _condition(self, form: ConditionForm, path: Path) -> CompoundCondition:
         if form.signal is not None:
-            return CompoundCondition(True, (self._leaf(form, path),))
+            return CompoundCondition(True, (self._threshold(form, path),))
         name, forms = ("all", form.all) if form.all is not None else ("any", form.any or [])
         parts = tuple(
-            self._leaf(part, (*path, name, place))
+            self._threshold(part, (*path, name, index))
             if part.signal is not None
-            else self._condition(part, (*path, name, place))
-            for place, part in enumerate(forms)
+            else self._condition(part, (*path, name, index))
+            for index, part in enumerate(forms)
         )
         return CompoundCondition(name == "all", parts)
 
-    def _leaf(self, form: ConditionForm, path: Path) -> ThresholdCondition:
+    def _threshold(self, form: ConditionForm, path: Path) -> ThresholdCondition:
         signal = form.signal or ""
         above = form.above is not None
         bound = form.above if form.above is not None else form.below
         assert bound is not None
-        if signal not in self._known:
-            self._complain((*path, "signal"), f"{signal!r} is no signal; known are {', '.join(self._known)}")
-        elif signal == "link" and not self._link_is_told():
-            why = "the caches of this deployment do not report x1, so it is never known"
-            self._complain((*path, "signal"), f"link: {why}")
+        if signal not in self._signal_names:
+            self._report_fault(
+                (*path, "signal"), f"{signal!r} is no signal; known are {', '.join(self._signal_names)}"
+            )
+        elif signal == "link" and not self._link_is_reported():
+            reason = "the caches of this deployment do not report x1, so it is never known"
+            self._report_fault((*path, "signal"), f"link: {reason}")
         elif above and bound >= SIGNAL_MAX.get(signal.partition(":")[0], float("inf")):
-            self._complain((*path, "above"), f"{signal} never passes {bound:g}: it can never hold")
+            self._report_fault((*path, "above"), f"{signal} never passes {bound:g}: it can never hold")
         elif not above and bound <= 0.0:
-            self._complain((*path, "below"), f"{signal} is never below {bound:g}: it can never hold")
+            self._report_fault((*path, "below"), f"{signal} is never below {bound:g}: it can never hold")
         return ThresholdCondition(signal, above, bound, form.for_)
 
-    def _link_is_told(self) -> bool:
+    def _link_is_reported(self) -> bool:
         return self._platform.settings.link_load_index < len(self._platform.names.load_report_names)
 
-    def _gap(self, enter: CompoundCondition, leave: CompoundCondition, path: Path) -> None:
+    def _check_hysteresis(self, enter: CompoundCondition, leave: CompoundCondition, path: Path) -> None:
         """Each bound that lets in must be undone by one that lets out, with a gap between them."""
-        outs = list(leave.leaves())
-        for leaf in enter.leaves():
-            against = [out for out in outs if out.signal == leaf.signal and out.above != leaf.above]
-            if not against:
-                self._complain(
+        leave_thresholds = list(leave.leaves())
+        for entering in enter.leaves():
+            opposites = [
+                leaving
+                for leaving in leave_thresholds
+                if leaving.signal == entering.signal and leaving.above != entering.above
+            ]
+            if not opposites:
+                self._report_fault(
                     (*path, "leave"),
-                    f"it says nothing of {leaf.signal}, which lets in: it would be left while that holds",
+                    f"it says nothing of {entering.signal}, which lets in: it would be left while that holds",
                 )
-            for out in against:
-                gap = leaf.bound - out.bound if leaf.above else out.bound - leaf.bound
+            for leaving in opposites:
+                gap = entering.bound - leaving.bound if entering.above else leaving.bound - entering.bound
                 if gap <= 0.0:
-                    side, other = ("above", "below") if leaf.above else ("below", "above")
-                    self._complain(
+                    side, other = ("above", "below") if entering.above else ("below", "above")
+                    self._report_fault(
                         (*path, "leave"),
-                        f"{leaf.signal} lets in {side} {leaf.bound:g} and out {other} {out.bound:g}: "
+                        f"{entering.signal} lets in {side} {entering.bound:g} and out {other} "
+                        f"{leaving.bound:g}: "
                         "there is no gap to hover in",
                     )
         if not _can_hold(leave):
-            self._complain((*path, "leave"), "its conditions contradict: the level could never be left")
+            self._report_fault((*path, "leave"), "its conditions contradict: the level could never be left")
         if not _can_hold(enter):
-            self._complain((*path, "enter"), "its conditions contradict: the level could never be entered")
+            self._report_fault(
+                (*path, "enter"), "its conditions contradict: the level could never be entered"
+            )
 
-    def _measures(self, form: LevelForm, path: Path) -> LevelActions:
-        told = form.measures
+    def _level_actions(self, form: LevelForm, path: Path) -> LevelActions:
+        measures = form.measures
         path = (*path, "measures")
         shed: list[ShedShare] = []
-        for place, share in enumerate(told.shed):
-            at: Path = (*path, "shed", place)
+        for index, share in enumerate(measures.shed):
+            shed_path: Path = (*path, "shed", index)
             if share.workload is not None and share.workload not in self._workloads:
                 names = ", ".join(self._workloads)
-                why = f"the settings have no workload {share.workload!r}; they have {names}"
-                self._complain((*at, "workload"), why)
+                reason = f"the settings have no workload {share.workload!r}; they have {names}"
+                self._report_fault((*shed_path, "workload"), reason)
                 continue
             if share.route is not None and share.route not in self._routes:
-                self._complain((*at, "route"), f"{share.route!r} is no route")
+                self._report_fault((*shed_path, "route"), f"{share.route!r} is no route")
                 continue
                 continue
             number = self._workloads.index(share.workload) if share.workload is not None else -1
             new = ShedShare(number, share.route or "", share.share)
-            if any((old.workload, old.route) == (new.workload, new.route) for old in shed):
-                self._complain(at, "its share is said twice")
+            if any((earlier.workload, earlier.route) == (new.workload, new.route) for earlier in shed):
+                self._report_fault(shed_path, "its share is said twice")
             shed.append(new)
-        whole = {one.workload for one in shed if one.share >= 1.0}
-        if whole >= set(range(len(self._workloads))):
-            self._complain((*path, "shed"), "it sheds all of every workload: that is no service at all")
-        if told.ageing and not any(workload.stale_ttl for workload in self._platform.settings.workloads):
-            self._complain((*path, "ageing"), "no workload has copies that may age: it could never act")
-        if told.later is not None and not self._platform.settings.sends_retry_after:
-            self._complain((*path, "later"), "the settings do not let clients be told when to come back")
-        if told.later is not None and not shed:
-            self._complain((*path, "later"), "it goes with shed pulls, and the level sheds none")
-        measures = LevelActions(
-            tuple(shed), told.ageing, told.first_seen_fills, told.further_relays, told.fills, told.later
+        fully_shed = {entry.workload for entry in shed if entry.share >= 1.0}
+        if fully_shed >= set(range(len(self._workloads))):
+            self._report_fault((*path, "shed"), "it sheds all of every workload: that is no service at all")
+        if measures.ageing and not any(workload.stale_ttl for workload in self._platform.settings.workloads):
+            self._report_fault((*path, "ageing"), "no workload has copies that may age: it could never act")
+        if measures.later is not None and not self._platform.settings.sends_retry_after:
+            self._report_fault((*path, "later"), "the settings do not let clients be told when to come back")
+        if measures.later is not None and not shed:
+            self._report_fault((*path, "later"), "it goes with shed pulls, and the level sheds none")
+        actions = LevelActions(
+            tuple(shed),
+            measures.ageing,
+            measures.first_seen_fills,
+            measures.further_relays,
+            measures.fills,
+            measures.later,
         )
-        if measures == LevelActions() and not told.shed:
-            self._complain(path, "it leaves nothing out: the level is full service")
-        return measures
+        if actions == LevelActions() and not measures.shed:
+            self._report_fault(path, "it leaves nothing out: the level is full service")
+        return actions
 
 
-def _alternatives(condition: CompoundCondition) -> Iterator[dict[str, tuple[float, float]]]:
+def _possible_ranges(condition: CompoundCondition) -> Iterator[dict[str, tuple[float, float]]]:
     """Yield each way in which a condition can hold: by signal the range between its bounds."""
-    ways: list[dict[str, tuple[float, float]]] = [{}]
+    alternatives: list[dict[str, tuple[float, float]]] = [{}]
     for part in condition.parts:
-        mine: list[dict[str, tuple[float, float]]]
+        part_alternatives: list[dict[str, tuple[float, float]]]
         if isinstance(part, ThresholdCondition):
-            mine = [{part.signal: (part.bound, float("inf")) if part.above else (float("-inf"), part.bound)}]
+            part_alternatives = [
+                {part.signal: (part.bound, float("inf")) if part.above else (float("-inf"), part.bound)}
+            ]
         else:
-            mine = list(_alternatives(part))
+            part_alternatives = list(_possible_ranges(part))
         if not condition.all:
-            yield from mine
+            yield from part_alternatives
             continue
-        joined = []
-        for way in ways:
-            for more in mine:
-                both = dict(way)
-                for signal, (low, high) in more.items():
-                    a, b = both.get(signal, (float("-inf"), float("inf")))
-                    both[signal] = (max(a, low), min(b, high))
-                joined.append(both)
-        ways = joined[:256]  # past so many ways it counts as one that can hold
+        combined = []
+        for alternative in alternatives:
+            for part_ranges in part_alternatives:
+                ranges = dict(alternative)
+                for signal, (low, high) in part_ranges.items():
+                    earlier_low, earlier_high = ranges.get(signal, (float("-inf"), float("inf")))
+                    ranges[signal] = (max(earlier_low, low), min(earlier_high, high))
+                combined.append(ranges)
+        alternatives = combined[:256]  # past so many ways it counts as one that can hold
     if condition.all:
-        yield from ways
+        yield from alternatives
 
 
 def _can_hold(condition: CompoundCondition) -> bool:
-    return any(all(low < high for low, high in way.values()) for way in _alternatives(condition))
+    return any(all(low < high for low, high in ranges.values()) for ranges in _possible_ranges(condition))
--- a/cometseam/operator/load.py
+++ b/cometseam/operator/load.py
@@ -25,7 +25,7 @@
 from cometseam.operator.compiled_file import is_compiled_file, load_compiled_file
 
 EVALUATION = 1.8  # s for the child to come up and evaluate
-CHECKS = 20.0  # s for all, the tree over ten thousand routes included
+CHILD_TIMEOUT_S = 20.0  # s for all, the tree over ten thousand routes included
 MOST = 64 << 20  # bytes that a child may write
 
 
@@ -52,102 +52,108 @@
     platform = Platform(read_settings(section), read_name_tables(section), read_network_settings(section))
     evaluated = evaluate(path)
 
-    def tell(found: list[tuple[tuple[str | int, ...], str]]) -> OperatorFileError:
+    def file_error(found_faults: list[tuple[tuple[str | int, ...], str]]) -> OperatorFileError:
         faults = []
-        for key, reason in found:
+        for key, reason in found_faults:
             line = locate(evaluated.sources[evaluated.main_name], key)
             faults.append(
                 make_fault(key, reason, f"{evaluated.main_name}:{line}" if line else evaluated.main_name)
             )
         return OperatorFileError(faults)
 
-    file, found = validate_file(evaluated.value)
+    file, found_faults = validate_file(evaluated.value)
     if file is None:
-        raise tell(found)
+        raise file_error(found_faults)
     compiler = Compiler(file, platform)
     if compiler.faults:
-        raise tell(compiler.faults)
+        raise file_error(compiler.faults)
     compiled, networks = compiler.build(evaluated.digest)
     return LoadedFile(compiled, compiler, networks)
 
 
 def child_main() -> int:
     """Be the child: a question on standard input, the answer on standard output."""
-    from cometseam.operator import compiled as form
-    from cometseam.operator import evaluate as bounded
+    from cometseam.operator import compiled as compiled
+    from cometseam.operator import evaluate as evaluation
 
-    question = json.loads(sys.stdin.buffer.read())
+    request = json.loads(sys.stdin.buffer.read())
     import cometseam.operator.compile  # before the bounds: what the libraries take is not the file's doing
 
     assert cometseam.operator.compile is not None
-    whole = bounded.evaluate
+    evaluate_unlimited = evaluation.evaluate
 
-    def within(path: Path) -> bounded.EvaluatedFile:
-        bounded.set_resource_limits()
+    def evaluate_limited(path: Path) -> evaluation.EvaluatedFile:
+        evaluation.set_resource_limits()
         try:
-            return whole(path)
+            return evaluate_unlimited(path)
         finally:
-            bounded.clear_resource_limits()
+            evaluation.clear_resource_limits()
 
-    bounded.evaluate = within
+    evaluation.evaluate = evaluate_limited
     try:
-        loaded = load(Path(question["path"]), question["settings"])
-        text = b"+" + form.encode_compiled(loaded.compiled, loaded.network_intervals)
-    except OperatorFileError as refused:
-        told = [[fault.path, fault.reason, fault.location] for fault in refused.faults]
-        text = b"-" + json.dumps(told).encode()
-    sys.stdout.buffer.write(text)
+        loaded = load(Path(request["path"]), request["settings"])
+        response = b"+" + compiled.encode_compiled(loaded.compiled, loaded.network_intervals)
+    except OperatorFileError as error:
+        faults = [[fault.path, fault.reason, fault.location] for fault in error.faults]
+        response = b"-" + json.dumps(faults).encode()
+    sys.stdout.buffer.write(response)
     return 0
 
 
 COMMAND = [sys.executable, "-m", "cometseam.operator"]
 
 
-def _question(path: Path, settings: dict[str, Any]) -> bytes:
+def _child_request(path: Path, settings: dict[str, Any]) -> bytes:
     return json.dumps({"path": str(path), "settings": settings}).encode()
 
 
-def _answer(path: Path, status: int, text: bytes, said: bytes) -> CompiledConfig:
-    if status == 0 and text[:1] == b"+":
-        return decode_compiled(text[1:])
-    if status == 0 and text[:1] == b"-":
-        raise OperatorFileError([Fault(*fault) for fault in json.loads(text[1:])])
+def _decode_response(path: Path, status: int, response: bytes, stderr: bytes) -> CompiledConfig:
+    if status == 0 and response[:1] == b"+":
+        return decode_compiled(response[1:])
+    if status == 0 and response[:1] == b"-":
+        raise OperatorFileError([Fault(*fault) for fault in json.loads(response[1:])])
     if status == -signal.SIGALRM:
-        why = "its evaluation takes too long"
-    elif status in (-signal.SIGABRT, -signal.SIGSEGV, -signal.SIGKILL) or b"MemoryError" in said:
-        why = "its evaluation takes too much memory, or is nested too deeply"
+        reason = "its evaluation takes too long"
+    elif status in (-signal.SIGABRT, -signal.SIGSEGV, -signal.SIGKILL) or b"MemoryError" in stderr:
+        reason = "its evaluation takes too much memory, or is nested too deeply"
     else:
-        why = f"it could not be checked: {said.decode(errors='replace').strip().splitlines()[-1:]}"
-    raise OperatorFileError([Fault("", f"{path.name}: {why}")])
+        reason = f"it could not be checked: {stderr.decode(errors='replace').strip().splitlines()[-1:]}"
+    raise OperatorFileError([Fault("", f"{path.name}: {reason}")])
 
 
-def _no_child(path: Path, error: OSError) -> OperatorFileError:
+def _cannot_start_child(path: Path, error: OSError) -> OperatorFileError:
     """Guards against a platform that refuses to start processes (ENOSYS, EPERM, EAGAIN from fork or exec)."""
-    why = f"no child can be started here ({error.strerror}): name its sealed form, `cometseam check --seal`"
-    return OperatorFileError([Fault("", f"{path.name}: {why}")])
+    reason = (
+        f"no child can be started here ({error.strerror}): name its sealed form, `cometseam check --seal`"
+    )
+    return OperatorFileError([Fault("", f"{path.name}: {reason}")])
 
 
 def load_in_child(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Load a file in a child, and wait for it: at the start, when nothing is served yet."""
     try:
         done = subprocess.run(
-            COMMAND, input=_question(path, settings), capture_output=True, timeout=CHECKS, check=False
+            COMMAND,
+            input=_child_request(path, settings),
+            capture_output=True,
+            timeout=CHILD_TIMEOUT_S,
+            check=False,
         )
     except subprocess.TimeoutExpired as error:
         raise OperatorFileError([Fault("", f"{path.name}: its checks take too long")]) from error
     except OSError as error:
-        raise _no_child(path, error) from error
-    return _answer(path, done.returncode, done.stdout, done.stderr)
+        raise _cannot_start_child(path, error) from error
+    return _decode_response(path, done.returncode, done.stdout, done.stderr)
 
 
 async def load_in_child_async(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Load a file in a child beside what is served; cancelled, or past its time, the child is ended."""
-    with anyio.move_on_after(CHECKS):
+    with anyio.move_on_after(CHILD_TIMEOUT_S):
         try:
-            done = await anyio.run_process(COMMAND, input=_question(path, settings), check=False)
+            done = await anyio.run_process(COMMAND, input=_child_request(path, settings), check=False)
         except OSError as error:
-            raise _no_child(path, error) from error
-        return _answer(path, done.returncode, done.stdout, done.stderr)
+            raise _cannot_start_child(path, error) from error
+        return _decode_response(path, done.returncode, done.stdout, done.stderr)
     raise OperatorFileError([Fault("", f"{path.name}: its checks take too long")])
 
 
@@ -159,28 +165,28 @@
 async def load_for_front_async(path: Path, settings: dict[str, Any]) -> CompiledConfig:
     """Load it anew beside what is served: a sealed form on a worker thread, so that the loop goes on."""
     if is_compiled_file(path):
-        return await _beside(lambda: load_compiled_file(path, settings))
+        return await _run_in_thread(lambda: load_compiled_file(path, settings))
     return await load_in_child_async(path, settings)
 
 
-async def _beside(work: Callable[[], CompiledConfig]) -> CompiledConfig:
+async def _run_in_thread(work: Callable[[], CompiledConfig]) -> CompiledConfig:
     """Do some work on a thread; cancelled, it is left behind, and the process ends without it.
 
     Guards the end of a front against a file whose reading hangs: a pool's worker threads are joined then.
     """
-    token, done = current_token(), anyio.Event()
-    came: list[CompiledConfig | BaseException] = []
+    token, finished = current_token(), anyio.Event()
+    outcome: list[CompiledConfig | BaseException] = []
 
     def run() -> None:
         try:
-            came.append(work())
+            outcome.append(work())
         except BaseException as error:
-            came.append(error)
+            outcome.append(error)
         with suppress(anyio.RunFinishedError):  # nobody waits any more: the front has ended
-            anyio.from_thread.run_sync(done.set, token=token)
+            anyio.from_thread.run_sync(finished.set, token=token)
 
     threading.Thread(target=run, name="operator's file", daemon=True).start()
-    await done.wait()
-    if isinstance(came[0], BaseException):
-        raise came[0]
-    return came[0]
+    await finished.wait()
+    if isinstance(outcome[0], BaseException):
+        raise outcome[0]
+    return outcome[0]
--- a/cometseam/operator/locate.py
+++ b/cometseam/operator/locate.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-TOKEN = re.compile(
+TOKEN_PATTERN = re.compile(
     r"""(?P<skip>\s+|//[^\n]*|\#[^\n]*|/\*.*?\*/)
       |(?P<text>\|\|\|.*?\n\s*\|\|\||"(?:\\.|[^"\\])*"|'(?:\\.|[^'\\])*'|@"(?:""|[^"])*"|@'(?:''|[^'])*')
       |(?P<name>[A-Za-z_][A-Za-z_0-9]*)
@@ -16,7 +16,7 @@
       |(?P<mark>:::|::|\+:|:|[{}\[\](),;]|.)""",
     re.VERBOSE | re.DOTALL,
 )
-OPEN, CLOSE = "{[(", "}])"
+OPENING_BRACKETS, CLOSING_BRACKETS = "{[(", "}])"
 
 
 class Token(NamedTuple):
@@ -30,68 +30,80 @@
 def tokens(source: str) -> Iterator[Token]:
     """Yield the pieces of a text, without white space and comments."""
     line = 1
-    for match in TOKEN.finditer(source):
+    for match in TOKEN_PATTERN.finditer(source):
         kind, text = str(match.lastgroup), match.group()
         if kind != "skip":
             yield Token(kind, text, line)
         line += text.count("\n")
 
 
-def _past(pieces: list[Token], at: int) -> int:
+def _skip_balanced(token_list: list[Token], position: int) -> int:
     """Return the place past the bracket that opens at `at` and all that it holds."""
     depth = 0
-    while at < len(pieces):
-        if pieces[at].kind == "mark":
-            depth += pieces[at].text in OPEN
-            depth -= pieces[at].text in CLOSE
-        at += 1
+    while position < len(token_list):
+        if token_list[position].kind == "mark":
+            depth += token_list[position].text in OPENING_BRACKETS
+            depth -= token_list[position].text in CLOSING_BRACKETS
+        position += 1
         if depth == 0:
             break
-    return at
+    return position
 
 
-def _top(pieces: list[Token]) -> int:
+def _value_start(token_list: list[Token]) -> int:
     """Return where the value of the file begins: past its `local` bindings."""
-    at = 0
-    while at < len(pieces) and pieces[at].text in ("local", "assert"):
-        while at < len(pieces) and pieces[at].text != ";":
-            at = _past(pieces, at) if pieces[at].text in OPEN else at + 1
-        at += 1
-    return at
-
-
-def _items(pieces: list[Token], at: int) -> Iterator[tuple[str | int, int, int]]:
+    position = 0
+    while position < len(token_list) and token_list[position].text in ("local", "assert"):
+        while position < len(token_list) and token_list[position].text != ";":
+            position = (
+                _skip_balanced(token_list, position)
+                if token_list[position].text in OPENING_BRACKETS
+                else position + 1
+            )
+        position += 1
+    return position
+
+
+def _literal_entries(token_list: list[Token], position: int) -> Iterator[tuple[str | int, int, int]]:
     """Yield (key or place, where it stands, where its value begins) of the literal that opens at `at`."""
-    listed, count = pieces[at].text == "[", 0
-    end = _past(pieces, at) - 1
-    at += 1
-    while at < end:
-        if listed:
-            yield count, at, at
+    is_list, count = token_list[position].text == "[", 0
+    end = _skip_balanced(token_list, position) - 1
+    position += 1
+    while position < end:
+        if is_list:
+            yield count, position, position
             count += 1
         else:
-            key, stands = pieces[at], at
-            colon = at
-            while colon < end and pieces[colon].text not in (":", "::", ":::", "+:", ","):
-                colon = _past(pieces, colon) if pieces[colon].text in OPEN else colon + 1
+            key, key_position = token_list[position], position
+            colon = position
+            while colon < end and token_list[colon].text not in (":", "::", ":::", "+:", ","):
+                colon = (
+                    _skip_balanced(token_list, colon)
+                    if token_list[colon].text in OPENING_BRACKETS
+                    else colon + 1
+                )
             name = key.text.strip("@").strip("\"'") if key.kind == "text" else key.text
-            if colon < end and pieces[colon].text != "," and key.kind in ("text", "name"):
-                yield name, stands, colon + 1
-        while at < end and pieces[at].text != ",":
-            at = _past(pieces, at) if pieces[at].text in OPEN else at + 1
-        at += 1
+            if colon < end and token_list[colon].text != "," and key.kind in ("text", "name"):
+                yield name, key_position, colon + 1
+        while position < end and token_list[position].text != ",":
+            position = (
+                _skip_balanced(token_list, position)
+                if token_list[position].text in OPENING_BRACKETS
+                else position + 1
+            )
+        position += 1
 
 
 def locate(source: str, path: tuple[str | int, ...]) -> int | None:
     """Return the line of a key, or of the last key above it that is written out; None where none is."""
-    pieces = list(tokens(source))
-    at, line = _top(pieces), None
-    for step in path:
-        if at >= len(pieces) or pieces[at].text not in ("{", "["):
+    token_list = list(tokens(source))
+    position, line = _value_start(token_list), None
+    for wanted_key in path:
+        if position >= len(token_list) or token_list[position].text not in ("{", "["):
             return line
-        for key, stands, value in _items(pieces, at):
-            if key == step:
-                at, line = value, pieces[stands].line
+        for key, key_position, value_position in _literal_entries(token_list, position):
+            if key == wanted_key:
+                position, line = value_position, token_list[key_position].line
                 break
         else:
             return line
--- a/cometseam/operator/schema.py
+++ b/cometseam/operator/schema.py
@@ -14,19 +14,19 @@
 from cometseam.operator.compiled import Fault
 from cometseam.timing.validate import OUTCOMES_BY_NAME
 
-UNITS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0}
-SIZES = {"B": 1.0, "KB": 1024.0, "MB": 1024.0**2, "GB": 1024.0**3}
+MS_BY_UNIT = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0}
+BYTES_BY_UNIT = {"B": 1.0, "KB": 1024.0, "MB": 1024.0**2, "GB": 1024.0**3}
 MAX_DURATION_MS = 600_000.0  # ms: no pull waits for longer
-QUANTITY = re.compile(r"(-?[0-9]+(?:\.[0-9]+)?) *([A-Za-z]+)")
-HEX = re.compile(r"[0-9a-f]{1,16}")
+QUANTITY_PATTERN = re.compile(r"(-?[0-9]+(?:\.[0-9]+)?) *([A-Za-z]+)")
+HEX_PATTERN = re.compile(r"[0-9a-f]{1,16}")
 
 
-def _quantity(value: Any, units: dict[str, float], what: str, example: str) -> float:
+def _parse_quantity(value: Any, units: dict[str, float], what: str, example: str) -> float:
     if not isinstance(value, str):
-        raise ValueError(f"{what} with its unit was expected, as {example}, not {_told(value)}")
-    match = QUANTITY.fullmatch(value.strip())
+        raise ValueError(f"{what} with its unit was expected, as {example}, not {_short_repr(value)}")
+    match = QUANTITY_PATTERN.fullmatch(value.strip())
     if match is None:
-        raise ValueError(f"{what} was expected, as {example}, not {_told(value)}")
+        raise ValueError(f"{what} was expected, as {example}, not {_short_repr(value)}")
     number, unit = match.groups()
     if unit not in units:
         raise ValueError(f"{unit!r} is no unit of {what}; known are {', '.join(units)}")
@@ -35,28 +35,28 @@
 
 def parse_duration(value: Any) -> float:
     """Return a duration in ms; it carries its unit."""
-    time = _quantity(value, UNITS, "a duration", '"250ms"')
+    time = _parse_quantity(value, MS_BY_UNIT, "a duration", '"250ms"')
     if time < 0.0:
-        raise ValueError(f"a duration can't be negative: {_told(value)}")
+        raise ValueError(f"a duration can't be negative: {_short_repr(value)}")
     if time > MAX_DURATION_MS:
         raise ValueError(
-            f"{_told(value)} is longer than any pull waits ({MAX_DURATION_MS / 1000.0:g}s at most)"
+            f"{_short_repr(value)} is longer than any pull waits ({MAX_DURATION_MS / 1000.0:g}s at most)"
         )
     return time
 
 
 def parse_size(value: Any) -> float:
     """Return a size in bytes; it carries its unit."""
-    count = _quantity(value, SIZES, "a size", '"300KB"')
+    count = _parse_quantity(value, BYTES_BY_UNIT, "a size", '"300KB"')
     if count < 0.0:
-        raise ValueError(f"a size can't be negative: {_told(value)}")
+        raise ValueError(f"a size can't be negative: {_short_repr(value)}")
     return count
 
 
 def parse_number(value: Any) -> float:
     """Return a finite number."""
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ValueError(f"a number was expected, not {_told(value)}")
+        raise ValueError(f"a number was expected, not {_short_repr(value)}")
     if not math.isfinite(value):
         raise ValueError("a finite number was expected")
     return float(value)
@@ -65,7 +65,7 @@
 def parse_integer(value: Any) -> int:
     """Return a whole number."""
     if parse_number(value) != int(value):
-        raise ValueError(f"a whole number was expected, not {_told(value)}")
+        raise ValueError(f"a whole number was expected, not {_short_repr(value)}")
     return int(value)
 
 
@@ -93,7 +93,7 @@
     return value if isinstance(value, list) else [value]
 
 
-def _told(value: Any) -> str:
+def _short_repr(value: Any) -> str:
     return repr(value)[:40]
 
 
@@ -145,7 +145,7 @@
     jitter: Annotated[Number, Field(ge=0.0, le=1.0)] = 0.0
 
     @model_validator(mode="after")
-    def _ordered(self) -> Self:
+    def _check_order(self) -> Self:
         if self.most is not None and self.most < self.base:
             raise ValueError(f"most, {self.most:g} ms, lies below base, {self.base:g} ms")
         return self
@@ -159,7 +159,7 @@
     where: Literal["group", "any"] = "group"
 
     @model_validator(mode="after")
-    def _alone(self) -> Self:
+    def _reject_keep_first(self) -> Self:
         if self.keep_first:
             raise ValueError(
                 "keep_first: the second would be sent while the first is still out; a pull's relays are "
@@ -197,30 +197,30 @@
     to: Annotated[Integer, Field(ge=0)] | None = None
 
     @model_validator(mode="after")
-    def _ordered(self) -> Self:
+    def _check_order(self) -> Self:
         if self.to is not None and self.to < self.from_:
             raise ValueError(f"to, {self.to}, lies below from, {self.from_}: it can't match")
         return self
 
 
-def _hex(value: Any) -> str:
-    if not isinstance(value, str) or HEX.fullmatch(value) is None:
-        raise ValueError(f"1 to 16 hex digits in lower case were expected, not {_told(value)}")
+def _parse_hex(value: Any) -> str:
+    if not isinstance(value, str) or HEX_PATTERN.fullmatch(value) is None:
+        raise ValueError(f"1 to 16 hex digits in lower case were expected, not {_short_repr(value)}")
     return value
 
 
-Hex = Annotated[str, BeforeValidator(_hex)]
+HexDigits = Annotated[str, BeforeValidator(_parse_hex)]
 
 
 class ObjectsForm(Strict):
     """Objects by the first hex digits of their names, or from one to another, both in it."""
 
-    prefix: Hex | None = None
-    from_: Hex | None = Field(default=None, alias="from")
-    to: Hex | None = None
+    prefix: HexDigits | None = None
+    from_: HexDigits | None = Field(default=None, alias="from")
+    to: HexDigits | None = None
 
     @model_validator(mode="after")
-    def _one_way(self) -> Self:
+    def _check_one_form(self) -> Self:
         if (self.prefix is None) == (self.from_ is None and self.to is None):
             raise ValueError("either prefix, or from and to, were expected")
         if self.from_ and self.to and int(self.to.ljust(16, "f"), 16) < int(self.from_.ljust(16, "0"), 16):
@@ -235,7 +235,7 @@
     to: Annotated[float, BeforeValidator(parse_size)] | None = None
 
     @model_validator(mode="after")
-    def _ordered(self) -> Self:
+    def _check_order(self) -> Self:
         if self.to is not None and self.to <= self.from_:
             raise ValueError("to does not lie above from: it can't match")
         return self
@@ -287,7 +287,7 @@
     any: Annotated[list["ConditionForm"], Field(min_length=1, max_length=16)] | None = None
 
     @model_validator(mode="after")
-    def _one_kind(self) -> Self:
+    def _check_one_kind(self) -> Self:
         kinds = [self.signal is not None, self.all is not None, self.any is not None]
         if sum(kinds) != 1:
             raise ValueError("one of signal, all and any was expected")
@@ -306,7 +306,7 @@
     share: Annotated[Number, Field(gt=0.0, le=1.0)]
 
     @model_validator(mode="after")
-    def _one_kind(self) -> Self:
+    def _check_one_kind(self) -> Self:
         if (self.workload is None) == (self.route is None):
             raise ValueError("one of workload and route was expected")
         return self
@@ -424,21 +424,21 @@
     try:
         return FileForm.model_validate(value), []
     except ValidationError as error:
-        out = []
-        for told in error.errors(include_url=False):
-            path = tuple(told["loc"])
-            out.append((path, _reason(told, path)))
-        return None, out
+        faults = []
+        for details in error.errors(include_url=False):
+            path = tuple(details["loc"])
+            faults.append((path, _fault_reason(details, path)))
+        return None, faults
 
 
-def _reason(told: Any, path: tuple[str | int, ...]) -> str:
-    kind, given, context = told["type"], told.get("input"), told.get("ctx", {})
+def _fault_reason(details: Any, path: tuple[str | int, ...]) -> str:
+    kind, given, context = details["type"], details.get("input"), details.get("ctx", {})
     match kind:
         case "extra_forbidden":
-            known = _keys(path[:-1])
-            near = difflib.get_close_matches(str(path[-1]), known, 1, 0.6)
-            if near:
-                return f"unknown key; did you mean {near[0]}?"
+            known = _known_keys(path[:-1])
+            close_matches = difflib.get_close_matches(str(path[-1]), known, 1, 0.6)
+            if close_matches:
+                return f"unknown key; did you mean {close_matches[0]}?"
             return f"unknown key; known are {', '.join(known)}"
         case "missing":
             return "missing"
@@ -446,8 +446,10 @@
             return str(context["error"])
         case "literal_error":
             words = context["expected"].replace("'", "").replace(" or ", ", ")
-            near = difflib.get_close_matches(str(given), words.split(", "), 1, 0.6)
-            return f"{_told(given)} is none of {words}" + (f"; did you mean {near[0]}?" if near else "")
+            close_matches = difflib.get_close_matches(str(given), words.split(", "), 1, 0.6)
+            return f"{_short_repr(given)} is none of {words}" + (
+                f"; did you mean {close_matches[0]}?" if close_matches else ""
+            )
         case "greater_than_equal":
             return f"{given!r} is too small: {context['ge']:g} at least"
         case "greater_than":
@@ -455,37 +457,41 @@
         case "less_than_equal":
             return f"{given!r} is too large: {context['le']:g} at most"
         case "model_type" | "model_attributes_type" | "dict_type":
-            return f"an object was expected, not {_told(given)}"
+            return f"an object was expected, not {_short_repr(given)}"
         case "list_type":
-            return f"a list was expected, not {_told(given)}"
+            return f"a list was expected, not {_short_repr(given)}"
         case "too_short" | "string_too_short":
             return "it is empty"
         case "string_type":
-            return f"a text was expected, not {_told(given)}"
+            return f"a text was expected, not {_short_repr(given)}"
         case "bool_type":
-            return f"true or false was expected, not {_told(given)}"
-    return str(told["msg"])
+            return f"true or false was expected, not {_short_repr(given)}"
+    return str(details["msg"])
 
 
-def _keys(path: tuple[str | int, ...]) -> list[str]:
+def _known_keys(path: tuple[str | int, ...]) -> list[str]:
     """Return the keys that the object at a path may have."""
-    at: Any = FileForm
+    annotation: Any = FileForm
     for step in path:
-        field = at.model_fields.get(str(step)) if isinstance(at, type) and issubclass(at, Strict) else None
-        at = _inner(field.annotation if field is not None else at)
-    if isinstance(at, type) and issubclass(at, Strict):
-        return [field.alias or name for name, field in at.model_fields.items()]
+        field = (
+            annotation.model_fields.get(str(step))
+            if isinstance(annotation, type) and issubclass(annotation, Strict)
+            else None
+        )
+        annotation = _nested_form(field.annotation if field is not None else annotation)
+    if isinstance(annotation, type) and issubclass(annotation, Strict):
+        return [field.alias or name for name, field in annotation.model_fields.items()]
     return []
 
 
-def _inner(annotation: Any) -> Any:
+def _nested_form(annotation: Any) -> Any:
     """Return the form that an annotation holds at last."""
-    seen = [annotation]
-    while seen:
-        one = seen.pop()
-        if isinstance(one, type) and issubclass(one, Strict):
-            return one
-        seen += [part for part in getattr(one, "__args__", ()) if part is not type(None)]
+    pending = [annotation]
+    while pending:
+        candidate = pending.pop()
+        if isinstance(candidate, type) and issubclass(candidate, Strict):
+            return candidate
+        pending += [argument for argument in getattr(candidate, "__args__", ()) if argument is not type(None)]
     return annotation
 
 
@@ -497,6 +503,6 @@
     return text
 
 
-def make_fault(path: tuple[str | int, ...], reason: str, place: str) -> Fault:
+def make_fault(path: tuple[str | int, ...], reason: str, location: str) -> Fault:
     """Return a fault with its path shown."""
-    return Fault(format_path(path), reason, place)
+    return Fault(format_path(path), reason, location)
