--- a/cometseam/operator/__main__.py
+++ b/cometseam/operator/__main__.py
@@ -1,4 +1,4 @@
-"""The child that evaluates and checks the operator's file."""
+"""Entry point of the child process that evaluates and checks the operator's file."""
 
 import sys
 
--- a/cometseam/operator/compile.py
+++ b/cometseam/operator/compile.py
@@ -1,9 +1,8 @@
-"""From the form of the operator's file to what serving holds, with the checks that take more than one value.
+"""Compiles the validated form of the operator's file to the runtime configuration; checks values together.
 
-Without I/O. A plan is inherited by the leaf: the file's `default`, then that of the pull's workload, then
-the route's; `null` takes an inherited value back, to what the module decides without a plan. A route that
-matches several workloads becomes one entry for each of them whose plan differs; after all routes stands one
-entry for each workload.
+Does no I/O. Plans are inherited leaf by leaf: the file's `default`, then the plan of the pull's workload,
+then the route's; `null` resets an inherited value to the program's built-in default. A route that matches
+several workloads becomes one entry for each of them; one fallback entry for each workload follows all routes.
 """
 
 from collections.abc import Iterator
@@ -29,18 +28,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteEntry:
-    """One line of the compiled routes."""
+    """One entry of the compiled route table."""
 
     name: str  # of the route, or `workload maps` where no route matches
-    route_index: int  # its place in the file; -1: none
+    route_index: int  # index in the file's `routes`; -1 for a workload's fallback entry
     workload: int
     plan: Plan
-    value_sources: dict[str, str]  # by leaf of the plan, where its value came from
+    value_sources: dict[str, str]  # by leaf of the plan: the part of the file that set its value
     box: Box
 
 
 class Compiler:
-    """Compiles one file; what is wrong is in `faults`."""
+    """Compiles one file and collects its faults in `faults`, each as the path of a key and a reason."""
 
     def __init__(self, file: FileForm, platform: Platform) -> None:
         self.file, self.platform = file, platform
@@ -70,10 +69,10 @@
     def _unknown_workload(self, name: str) -> str:
         return f"the settings have no workload {name!r}; they have {', '.join(self._workload_numbers)}"
 
-    # Networks
+    # Budgets
 
     def _check_fleet_budgets(self) -> None:
-        """What a budget allows the fleet must be shared out by somebody."""
+        """Report each budget with a `fleet` limit where the file has no `fleet.limits` to share it out."""
         file = self.file
         if file.fleet is not None and file.fleet.limits is not None:
             return
@@ -92,7 +91,7 @@
                 )
 
     def _check_budget_networks_disjoint(self) -> None:
-        """A client's network must be one, where it is to have a budget of its own."""
+        """Report networks with a budget that overlap: an address must belong to at most one of them."""
         with_budget = [name for name, form in self.file.networks.items() if form.budget is not None]
         for index, name in enumerate(with_budget):
             for earlier in with_budget[:index]:
@@ -114,7 +113,7 @@
             if route.name in seen:
                 first = seen[route.name]
                 self._report_fault(
-                    ("routes", route_index, "name"), f"{route.name!r} names routes[{first}] too"
+                    ("routes", route_index, "name"), f"{route.name!r} is the name of routes[{first}] too"
                 )
             seen.setdefault(route.name, route_index)
             box = self._match_box(route_index, route.match)
@@ -134,7 +133,9 @@
         self._check_contradictions(boxes, route_indices)
 
     def _check_contradictions(self, boxes: list[Box], route_indices: list[int]) -> None:
-        """Routes that differ in overlapping networks alone, neither within the other, and contradict."""
+        """Report routes with different plans whose matches differ only in their networks, where these overlap
+        and neither contains the other.
+        """
         for index, others in enumerate(overlapping_earlier(boxes)):
             route = self.file.routes[route_indices[index]]
             for other in others if route.match.networks else ():
@@ -182,7 +183,9 @@
                     addresses += self.networks.intervals[name]
                 else:
                     known = ", ".join(self.networks.intervals) or "none"
-                    self._report_fault((*path, "networks", index), f"{name!r} is no set in networks: {known}")
+                    self._report_fault(
+                        (*path, "networks", index), f"networks has no set {name!r}; it has {known}"
+                    )
             box[5] = union(addresses)
         return tuple(box) if all(box) else None
 
@@ -200,7 +203,10 @@
             yield RouteEntry(route.name, route_index, number, plan, value_sources, clipped)
 
     def _clip_to_largest(self, box: Box, workload: int) -> Box | None:
-        """Take out pulls larger than the file says there are: no plan is proved for them, none is given."""
+        """Limit a box to pulls up to the workload's `largest`: plans are validated and applied only to those.
+
+        Returns None where no size is left.
+        """
         largest = self.file.largest.get(self.platform.names.workloads[workload])
         sizes = box[4] if largest is None else intersection(box[4], ((0, int(largest) + 1),))
         return (*box[:4], sizes, box[5]) if sizes else None
@@ -209,14 +215,14 @@
         for name, number in self._workload_numbers.items():
             plan, value_sources = self._resolve(number, None)
             box = self._clip_to_largest((((number, number + 1),), *universal_box()[1:]), number)
-            assert box is not None  # a largest size of nothing holds that one
+            assert box is not None  # `largest` is 0 or more, and the clipped sizes include it
             self._validate(plan, value_sources, number, box, -1)
             self.entries.append(RouteEntry(f"workload {name}", -1, number, plan, value_sources, box))
 
     # Plans
 
     def _resolve(self, workload: int, route: RouteForm | None) -> tuple[Plan, dict[str, str]]:
-        """Return the plan of a workload under a route, and where each of its leaves came from."""
+        """Return the plan of a workload under a route (None: no route), and the source of each leaf."""
         name = self.platform.names.workloads[workload]
         merged: dict[str, Any] = {}
         value_sources: dict[str, str] = {}
@@ -239,7 +245,7 @@
     def _validate(
         self, plan: Plan, value_sources: dict[str, str], workload: int, box: Box, route_index: int
     ) -> None:
-        """Have a plan proved; a fault is told where the value that is at fault stands."""
+        """Validate a plan, and report each fault at the path that set the faulty value."""
         settings, links = self.platform.settings, self.platform.links
         rules, stream_rate = settings.workloads[workload], settings.stream_rate
         low, high = box[4][0][0] / BYTES_PER_KB, box[4][-1][1] / BYTES_PER_KB
@@ -248,7 +254,7 @@
             name,
             rules,
             min(low / stream_rate, rules.deadline) if stream_rate else 0.0,
-            # A pull that takes longer to send than its cut-off can't be served by any plan.
+            # No plan can serve a pull that takes longer to send than its deadline.
             min((high - 1 / BYTES_PER_KB) / stream_rate, rules.deadline) if stream_rate else 0.0,
             links.connect_timeout,
             value_sources.get("~until") == "cut-off",
@@ -267,10 +273,13 @@
                 reason += f" (in route {self.file.routes[route_index].name})"
             self._report_fault(path, reason)
 
-    # The result
+    # Result
 
     def build(self, digest: str) -> tuple[CompiledConfig, list[Intervals]]:
-        """Return what serving holds, and the intervals of networks with a budget. There must be no fault."""
+        """Return the runtime configuration and the address intervals of networks with a budget.
+
+        Must be called only where `faults` is empty.
+        """
         plan_numbers: dict[Plan, int] = {}
         routes = tuple(
             (plan_numbers.setdefault(entry.plan, len(plan_numbers)), entry.box) for entry in self.entries
@@ -371,6 +380,6 @@
         second=_scaled_duration(second["after"]) if second else None,
         worth=None if worth is None else frozenset(OUTCOMES_BY_NAME[outcome] for outcome in worth),
         come_back_in=merged.get("later"),
-        # A budget is shared by all pulls of the part of the file that sets it.
+        # All pulls that inherit the budget from the same part of the file share it.
         allowance=_retry_budget_terms(budget_name, merged.get("budget")),
     )
--- a/cometseam/operator/compiled.py
+++ b/cometseam/operator/compiled.py
@@ -1,7 +1,7 @@
-"""What a front holds of the operator's file: plans, routes as a tree, networks with a budget.
+"""The runtime configuration that a front uses: plans, the route tree, networks with a budget, levels, fleet.
 
-It is written as JSON by the process that read and checked the file, and decoded here without any of the
-libraries that checking takes.
+The process that evaluated and checked the operator's file encodes it as JSON; decoding needs none of the
+libraries used for checking.
 """
 
 import json
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Why a file can't be used: where, and the one plain reason."""
+    """One reason why a file can't be used, and where it was found."""
 
     path: str  # of the key, as in `routes[3].plan.relays`
     reason: str
-    location: str = ""  # file:line, where it can be known
+    location: str = ""  # file:line; empty where unknown
 
     def __str__(self) -> str:
         where = f"{self.location}: " if self.location else ""
@@ -34,7 +34,7 @@
 
 
 class OperatorFileError(ValueError):
-    """The operator's file can't be used; `faults` holds each reason, one at least."""
+    """The operator's file can't be used; `faults` has at least one entry."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("; ".join(str(fault) for fault in faults))
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledConfig:
-    """What serving needs; `digest` tells one text of the file and its imports from another."""
+    """The runtime configuration; `digest` identifies the text of the file and its imports."""
 
     digest: str
     plans: Plans
-    route_names: tuple[str, ...]  # of the routes, in order
+    route_names: tuple[str, ...]  # names of the compiled routes, in order
     table: RouteTable
     level_policy: LevelPolicy | None = None  # the levels of reduced service
-    fleet: dict[str, Any] | None = None  # the part in the fleet, as `fleet.parse_fleet_config` takes it
+    fleet: dict[str, Any] | None = None  # argument of `fleet.parse_fleet_config`; None: not a fleet member
 
 
 def _retry_budget_terms(value: Any) -> RetryBudgetTerms | None:
@@ -62,7 +62,7 @@
 
 
 def plan_to_json(plan: Plan) -> dict[str, Any]:
-    """Return a plan as plain values."""
+    """Return a plan as JSON-compatible values."""
     values = {field.name: getattr(plan, field.name) for field in fields(plan)}
     values["worth"] = None if plan.worth is None else sorted(plan.worth)
     values["allowance"] = None if plan.allowance is None else asdict(plan.allowance)
@@ -70,7 +70,7 @@
 
 
 def plan_from_json(values: dict[str, Any]) -> Plan:
-    """Return the plan that such values stand for."""
+    """Return the plan that `plan_to_json` encoded."""
     values = dict(values)
     values["time_outs"] = tuple(
         (_scaled_duration(first), _scaled_duration(later)) for first, later in values["time_outs"]
@@ -96,7 +96,7 @@
 
 
 def level_policy_to_json(policy: LevelPolicy) -> dict[str, Any]:
-    """Return levels as plain values."""
+    """Return a level policy as JSON-compatible values."""
     levels = [
         {
             "name": level.name,
@@ -113,7 +113,7 @@
 
 
 def level_policy_from_json(values: dict[str, Any]) -> LevelPolicy:
-    """Return the levels that such values stand for."""
+    """Return the level policy that `level_policy_to_json` encoded."""
     levels = []
     for level in values["levels"]:
         action_values = dict(level["measures"])
@@ -126,7 +126,7 @@
 
 
 def encode_compiled(compiled: CompiledConfig, networks: list[Any]) -> bytes:
-    """Return what a front decodes; `networks` holds the intervals of each network with a budget."""
+    """Return the runtime configuration as JSON; `networks`: intervals of each network with a budget."""
     plans, table = compiled.plans, compiled.table
     text = {
         "digest": compiled.digest,
@@ -150,7 +150,7 @@
 
 
 def decode_compiled(text: bytes) -> CompiledConfig:
-    """Decode what `encode_compiled` wrote."""
+    """Decode the JSON text that `encode_compiled` returned."""
     values = json.loads(text)
     plans = Plans(
         tuple(plan_from_json(plan) for plan in values["plans"]),
--- a/cometseam/operator/compiled_file.py
+++ b/cometseam/operator/compiled_file.py
@@ -1,19 +1,20 @@
-"""The sealed form of an operator's file: what a front reads where it may start no child process.
+"""Compiled operator's files, for fronts that may not start child processes.
 
-A Jsonnet file may loop or swell, so a front evaluates one only in a child that its bounds can end
-(`load.load_in_child`). Some platforms start no child: there `cometseam check FILE --seal OUT` evaluates and
-checks the file on the operator's side, within the same bounds, and writes what a front needs as JSON. A
-front reads that form in its own process; reading it is bounded by its size and does no evaluation.
+Evaluating a Jsonnet file may loop or use up memory, so a front evaluates one only in a child process under
+resource limits (`load.load_in_child`). For platforms that allow no child process, `cometseam check FILE
+--seal OUT` evaluates and checks the file on the operator's machine, under the same limits, and writes the
+runtime configuration as JSON. A front reads that file in its own process;
+reading is bounded by the size of the file and evaluates nothing.
 
-The form, one JSON object:
+The file is one JSON object:
 
     {"sealed": 1, "against": <16 hex digits>, "check": <16 hex digits>,
      "compiled": <as `compiled.encode_compiled`>}
 
-`against` is a digest of the settings that the file was checked against; a front whose settings differ
-refuses the form, since the proof of the plans (cut-offs, quoted times) held for those settings alone.
-`check` is a digest of the text of `compiled` as written, so that a torn or edited form is refused rather
-than half read. Every fault is a `OperatorFileError` with one plain reason; nothing else is raised.
+`against` is a digest of the settings that the file was checked against. A front with other settings rejects
+the file, because the plans were validated against the deadlines and target latencies of those settings only.
+`check` is a digest of the text of `compiled` as written, so that a truncated or edited file is rejected.
+Every fault is raised as an `OperatorFileError` with one reason; nothing else is raised.
 """
 
 import hashlib
@@ -25,15 +26,14 @@
 from cometseam.operator.compiled import CompiledConfig, Fault, OperatorFileError, decode_compiled
 
 FORMAT_VERSION = 1
-MAX_COMPILED_FILE_BYTES = (
-    16 << 20
-)  # bytes of a sealed form; what `evaluate.MAX_JSON_BYTES` lets a file come to, compiled, fits
-COMPILED_FILE_SUFFIX = ".json"  # an operator's file named so is taken as sealed; any other is Jsonnet
+# Large enough for the compiled form of a file that evaluates to `evaluate.MAX_JSON_BYTES` of JSON.
+MAX_COMPILED_FILE_BYTES = 16 << 20
+COMPILED_FILE_SUFFIX = ".json"  # files with this suffix are read as compiled files, all others as Jsonnet
 KEYS = frozenset({"sealed", "against", "check", "compiled"})
 
 
 def settings_digest(settings: dict[str, Any]) -> str:
-    """Return 16 hex digits that tell one object of settings from another, whatever the order of its keys."""
+    """Return a digest of a settings object as 16 hex digits; the order of its keys does not matter."""
     text = json.dumps(settings, sort_keys=True, separators=(",", ":"), allow_nan=False)
     return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
@@ -43,7 +43,7 @@
 
 
 def encode_compiled_file(compiled_text: bytes, settings: dict[str, Any]) -> bytes:
-    """Return the sealed form of what `compiled.encode_compiled` wrote, checked against `settings`."""
+    """Return the compiled file for the output of `compiled.encode_compiled`, checked against `settings`."""
     compiled = json.loads(compiled_text)
     canonical = json.dumps(compiled, sort_keys=True, separators=(",", ":")).encode()
     document = {
@@ -56,12 +56,15 @@
 
 
 def is_compiled_file(path: Path) -> bool:
-    """Tell whether a front takes this file as sealed (by its name: the file may be unreadable yet)."""
+    """Return whether a front reads this file as a compiled file; decided by its name, without reading it."""
     return path.name.endswith(COMPILED_FILE_SUFFIX)
 
 
 def read_bounded(path: Path, max_bytes: int = MAX_COMPILED_FILE_BYTES) -> bytes:
-    """Read a whole file of at most `max_bytes` bytes; what can't be read is `OperatorFileError`."""
+    """Return the bytes of a file.
+
+    Raises `OperatorFileError` where it can't be read, has more than `max_bytes` bytes or changes meanwhile.
+    """
     try:
         with open(path, "rb") as file:
             text = file.read(max_bytes + 1)
@@ -75,11 +78,14 @@
     return text
 
 
-def decode_compiled_file(text: bytes, settings: dict[str, Any], name: str = "sealed form") -> CompiledConfig:
-    """Return what a sealed form holds, where it is whole and was checked against these settings.
+def decode_compiled_file(
+    text: bytes, settings: dict[str, Any], name: str = "compiled file"
+) -> CompiledConfig:
+    """Return the runtime configuration of a compiled file that was checked against these settings.
 
-    Raises `OperatorFileError` for text that is not JSON, a form of another version, keys missing or unknown,
-    a check that does not match (torn or edited), settings that differ, or a compiled part that can't be read.
+    Raises `OperatorFileError` for text that is not JSON, another format version, missing or unknown keys, a
+    checksum that does not match (truncated or edited), other settings, or a compiled part that can't be
+    decoded.
     """
 
     def file_error(reason: str) -> OperatorFileError:
@@ -88,12 +94,12 @@
     try:
         document = json.loads(text, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        raise file_error("not a sealed form: its JSON can't be read") from error
+        raise file_error("not a compiled file: its JSON can't be read") from error
     if not isinstance(document, dict):
-        raise file_error("not a sealed form: an object was expected")
+        raise file_error("not a compiled file: an object was expected")
     if (keys := set(document)) != KEYS:
         mismatched_keys = sorted(keys ^ KEYS)
-        raise file_error(f"not a sealed form: keys {', '.join(mismatched_keys)} missing or unknown")
+        raise file_error(f"not a compiled file: keys {', '.join(mismatched_keys)} missing or unknown")
     if type(document["sealed"]) is not int or document["sealed"] != FORMAT_VERSION:
         raise file_error(f"sealed by another version ({document['sealed']!r}); seal it again")
     canonical = json.dumps(document["compiled"], sort_keys=True, separators=(",", ":")).encode()
@@ -108,7 +114,7 @@
 
 
 def load_compiled_file(path: Path, settings: dict[str, Any]) -> CompiledConfig:
-    """Read and open a sealed form in this process; bounded by `MOST` bytes, no evaluation."""
+    """Read and decode a compiled file of at most `MAX_COMPILED_FILE_BYTES` bytes, in this process."""
     return decode_compiled_file(read_bounded(path), settings, path.name)
 
 
--- a/cometseam/operator/evaluate.py
+++ b/cometseam/operator/evaluate.py
@@ -1,8 +1,8 @@
-"""Evaluates a Jsonnet file within bounds of time, memory, depth and size, and remembers what was read.
+"""Evaluates a Jsonnet file under limits of time, memory, depth and size, and returns the sources it read.
 
-Imports stay within the folder of the file; what is read is read once and must be the same at the end. The
-bounds hold for a process of its own (`set_resource_limits`): a file that loops or makes a gigabyte ends that
-process and nothing else.
+Imports must lie within the folder of the file. Each file is read once and must be unchanged at the end. The
+time and memory limits apply to the whole process (`set_resource_limits`), which should be one of its own: a
+file that loops or uses a gigabyte ends that process and nothing else.
 """
 
 import hashlib
@@ -18,17 +18,17 @@
 
 from cometseam.operator.compiled import Fault, OperatorFileError
 
-MAX_FILE_BYTES = 1 << 20  # of one file
+MAX_FILE_BYTES = 1 << 20  # size of one source file
 MAX_FILES = 64
-MAX_JSON_BYTES = 16 << 20  # bytes of the JSON that the file comes to
-MAX_STACK_DEPTH = 200  # calls within calls
-TIME_LIMIT_S = 1.2  # s
-MEMORY_LIMIT_BYTES = 96 << 20  # bytes beyond what the process held
+MAX_JSON_BYTES = 16 << 20  # size of the evaluation result
+MAX_STACK_DEPTH = 200  # nested Jsonnet calls
+TIME_LIMIT_S = 1.2
+MEMORY_LIMIT_BYTES = 96 << 20  # beyond what the process uses already
 
 
 @dataclass(frozen=True, slots=True)
 class EvaluatedFile:
-    """The value of a file, and the texts that it came from, by path from its folder."""
+    """The value of a file, and its source texts by path relative to its folder."""
 
     value: Any
     main_name: str
@@ -37,7 +37,7 @@
 
 
 class Reader:
-    """Reads each file once, and tells at the end whether one was replaced meanwhile."""
+    """Reads each file once, and detects files that were replaced meanwhile."""
 
     def __init__(self, path: Path) -> None:
         self.folder = Path(os.path.realpath(path)).parent
@@ -45,7 +45,11 @@
         self._identities: dict[Path, tuple[int, int, int]] = {}
 
     def read(self, path: Path) -> bytes:
-        """Read a file of the folder."""
+        """Return the bytes of a file of the folder; a file that was read before is not read again.
+
+        Raises `ValueError` where the file is outside the folder, missing, too large or changes meanwhile, or
+        where more than `MAX_FILES` files are read.
+        """
         real = Path(os.path.realpath(path))
         if real in self.texts:
             return self.texts[real]
@@ -67,7 +71,7 @@
         return text
 
     def verify(self) -> None:
-        """Raise where a file is no longer the one that was read: half of an old set and half of a new one."""
+        """Raise `ValueError` where a file was replaced, so that old and new files may have been mixed."""
         for path, expected in self._identities.items():
             try:
                 current = _identity(os.stat(path))
@@ -82,8 +86,10 @@
 
 
 def evaluate(path: Path) -> EvaluatedFile:
-    """Evaluate a file; what is wrong is `OperatorFileError`. Within `set_resource_limits` where the file is
-    not to be trusted."""
+    """Evaluate a file; raises `OperatorFileError` for every fault.
+
+    Call `set_resource_limits` first where the file is not trusted.
+    """
     reader = Reader(path)
 
     def load(folder: str, name: str) -> tuple[str, bytes]:
@@ -99,7 +105,7 @@
             str(main), source, import_callback=load, max_stack=MAX_STACK_DEPTH, max_trace=4
         )
         if len(text) > MAX_JSON_BYTES:
-            raise ValueError(f"it comes to more than {MAX_JSON_BYTES >> 20} MB")
+            raise ValueError(f"its value is larger than {MAX_JSON_BYTES >> 20} MB as JSON")
         value = json.loads(text, parse_constant=_reject_constant)
         reader.verify()
     except OSError as error:
@@ -109,7 +115,7 @@
     except RecursionError as error:
         raise OperatorFileError([Fault("", f"{path}: nested too deeply")]) from error
     except MemoryError as error:
-        raise OperatorFileError([Fault("", f"{path}: it took too much memory")]) from error
+        raise OperatorFileError([Fault("", f"{path}: its evaluation takes too much memory")]) from error
     except ValueError as error:
         raise OperatorFileError([Fault("", str(error))]) from error
     except RuntimeError as error:
@@ -129,7 +135,7 @@
 
 
 def _evaluation_fault(text: str, reader: Reader) -> Fault:
-    """Return the one line that matters of what the evaluation says, with its place."""
+    """Return the first line of a Jsonnet error message as a fault, with the location in the file."""
     folder = str(reader.folder)
     names = {str(path.relative_to(folder)) for path in reader.texts}
     lines = [line.strip() for line in text.strip().splitlines()]
@@ -158,7 +164,7 @@
 
 
 def set_resource_limits(memory: int = MEMORY_LIMIT_BYTES, time: float = TIME_LIMIT_S) -> None:
-    """Bound this process: past `time` s an alarm ends it, past `memory` bytes more it gets none."""
+    """Limit this process: SIGALRM ends it after `time` seconds; it can allocate `memory` more bytes."""
     with open("/proc/self/statm") as file:
         data_bytes = int(file.read().split()[5]) * resource.getpagesize()
     resource.setrlimit(resource.RLIMIT_DATA, (data_bytes + memory, resource.RLIM_INFINITY))
@@ -168,7 +174,7 @@
 
 
 def clear_resource_limits() -> None:
-    """End the bounds that `set_resource_limits` set."""
+    """Clear the limits that `set_resource_limits` set."""
     signal.setitimer(signal.ITIMER_REAL, 0.0)
     _, hard_limit = resource.getrlimit(resource.RLIMIT_DATA)
     resource.setrlimit(resource.RLIMIT_DATA, (hard_limit, hard_limit))
--- a/cometseam/operator/fleet.py
+++ b/cometseam/operator/fleet.py
@@ -1,7 +1,7 @@
-"""The file's `fleet`: which coordination service, which tasks, on what terms; checked, and as plain values.
+"""Checks the file's `fleet`: the coordination service, the tasks and their terms.
 
-A front holds them as plain values (`CompiledConfig.fleet`) and reads them (`parse_fleet_config`) only where
-it takes part, so that a front that does not imports nothing of this.
+The result is kept as JSON-compatible values (`CompiledConfig.fleet`). Only a front that is a fleet member
+parses them (`parse_fleet_config`), so that other fronts don't import this module.
 """
 
 import re
@@ -10,39 +10,41 @@
 from typing import Any
 
 from cometseam.interface import Settings
-from cometseam.limits import SharingTerms
-from cometseam.limits import SharingTermsError as SharingTermsError
+from cometseam.limits import SharingTerms, SharingTermsError
 from cometseam.operator.schema import FleetForm
 from cometseam.ownership import OwnershipTerms, OwnershipTermsError
 from cometseam.verdicts import ProbeTerms
 
 Path = tuple[str | int, ...]
-PROBE_TASK, LIST_TASK, LIMITS_TASK = "probe", "list", "limits"
+PROBE_TASK = "probe"
+LIST_TASK = "list"
+LIMITS_TASK = "limits"
 TASK_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}")
 MS_PER_SECOND = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """What a front's part in the fleet goes by; times in ms."""
+    """How a front takes part in the fleet; times in ms."""
 
     service: str  # host:port
-    refresh_ms: float  # between two reads of the whole beside a watch
+    refresh_ms: float  # between two full reads, in addition to the watch
     tasks: dict[str, OwnershipTerms]
     probing: ProbeTerms
-    max_log_age_ms: float | None = None  # None: each front reads the change log itself
-    # Refresh and lasts of grants; None: nothing is shared out.
+    max_log_age_ms: float | None = None  # None: each front polls the discovery event log itself
+    # Refresh interval and TTL of capacity grants; None: no limits are shared.
     grant_timing: tuple[float, float] | None = None
     drift: float = 0.01
-    spread_ms: float | None = None  # the longest wait before a campaign; None: half of the shortest renewal
-    in_flight_limits: tuple[float, float] | None = None  # the fleet's out at one cache, at one parent; 0: any
+    # Maximum wait before an election campaign; None: half of the shortest renewal interval.
+    spread_ms: float | None = None
+    # Relays that the whole fleet may have in flight at one cache and at one parent; 0: unlimited.
+    in_flight_limits: tuple[float, float] | None = None
 
 
 def check_fleet(
     form: FleetForm | None, settings: Settings, report_fault: Callable[[Path, str], None]
 ) -> dict[str, Any] | None:
-    """Return plain values for `parse_fleet_config`, or None where the file names no fleet; what is wrong is
-    told."""
+    """Return the values for `parse_fleet_config`, or None where the file has no `fleet`; reports faults."""
     if form is None:
         return None
     host, _, port = form.service.rpartition(":")
@@ -104,10 +106,11 @@
         term, _, reason = str(error).partition(": ")
         report_fault((*path, term), reason)
     if limits.relays is not None:
-        # A front without a grant has an equal part; where that is below one relay it could send nothing.
+        # A front without a grant uses an equal share; a share below one relay would let it send nothing.
         zone_fronts = max(settings.fronts_by_zone, default=1)
         for key, max_relays, fronts in (
-            ("caches", limits.relays.caches, zone_fronts), ("parents", limits.relays.parents, settings.fronts)
+            ("caches", limits.relays.caches, zone_fronts),
+            ("parents", limits.relays.parents, settings.fronts),
         ):  # fmt: skip
             if max_relays is not None and max_relays < fronts:
                 report_fault(
@@ -123,7 +126,7 @@
     path: Path = ("fleet", "probing")
     if probing_form is None:
         probing = ProbeTerms()
-        if PROBE_TASK in tasks:  # long enough to outlive a change of prober, whatever its terms
+        if PROBE_TASK in tasks:  # outlives a change of prober, whatever the task's terms
             ttl = max(probing.lasts, 2.0 * (tasks[PROBE_TASK].ttl_ms + tasks[PROBE_TASK].renew_ms))
             probing = ProbeTerms(lasts=ttl)
         return probing
@@ -149,13 +152,13 @@
                 (*path, "lasts"),
                 f"{probing.lasts:g} ms ends before another front can have taken the task over: "
                 f"{min_ttl:g} ms at least "
-                "(a verdict may be a third of it old when its prober dies)",
+                "(a verdict may have used a third of that time when its prober dies)",
             )
     return probing
 
 
 def parse_fleet_config(values: dict[str, Any]) -> FleetConfig:
-    """Return the terms that `check_fleet` wrote as plain values."""
+    """Return the configuration for the values that `check_fleet` returned."""
     return FleetConfig(
         values["service"],
         values["refresh_ms"],
--- a/cometseam/operator/levels.py
+++ b/cometseam/operator/levels.py
@@ -1,4 +1,4 @@
-"""From the form of the levels to a scheme, with the checks that take more than one value."""
+"""Builds the level policy from its form in the operator's file, and checks values together."""
 
 from collections.abc import Callable, Iterator
 
@@ -22,7 +22,7 @@
 def build_level_policy(
     form: LevelsForm | None, platform: Platform, routes: list[RouteForm], report_fault: ReportFault
 ) -> LevelPolicy | None:
-    """Return the scheme that a form stands for; what is wrong is told."""
+    """Return the level policy of a form, or None where the file has no levels; reports each fault."""
     if form is None:
         return None
     builder = _LevelBuilder(platform, {route.name for route in routes}, report_fault)
@@ -73,7 +73,7 @@
         assert bound is not None
         if signal not in self._signal_names:
             self._report_fault(
-                (*path, "signal"), f"{signal!r} is no signal; known are {', '.join(self._signal_names)}"
+                (*path, "signal"), f"{signal!r} is not a signal; known are {', '.join(self._signal_names)}"
             )
         elif signal == "link" and not self._link_is_reported():
             reason = "the caches of this deployment do not report x1, so it is never known"
@@ -88,7 +88,7 @@
         return self._platform.settings.link_load_index < len(self._platform.names.load_report_names)
 
     def _check_hysteresis(self, enter: CompoundCondition, leave: CompoundCondition, path: Path) -> None:
-        """Each bound that lets in must be undone by one that lets out, with a gap between them."""
+        """Check that each `enter` bound has an opposite `leave` bound on its signal, with a gap between."""
         leave_thresholds = list(leave.leaves())
         for entering in enter.leaves():
             opposites = [
@@ -99,7 +99,8 @@
             if not opposites:
                 self._report_fault(
                     (*path, "leave"),
-                    f"it says nothing of {entering.signal}, which lets in: it would be left while that holds",
+                    f"it has no opposite bound on {entering.signal}, which is in enter: "
+                    "the level would be left while its enter condition holds",
                 )
             for leaving in opposites:
                 gap = entering.bound - leaving.bound if entering.above else leaving.bound - entering.bound
@@ -107,9 +108,8 @@
                     side, other = ("above", "below") if entering.above else ("below", "above")
                     self._report_fault(
                         (*path, "leave"),
-                        f"{entering.signal} lets in {side} {entering.bound:g} and out {other} "
-                        f"{leaving.bound:g}: "
-                        "there is no gap to hover in",
+                        f"{entering.signal} enters {side} {entering.bound:g} and leaves {other} "
+                        f"{leaving.bound:g}: a gap between the two bounds was expected",
                     )
         if not _can_hold(leave):
             self._report_fault((*path, "leave"), "its conditions contradict: the level could never be left")
@@ -130,23 +130,25 @@
                 self._report_fault((*shed_path, "workload"), reason)
                 continue
             if share.route is not None and share.route not in self._routes:
-                self._report_fault((*shed_path, "route"), f"{share.route!r} is no route")
+                self._report_fault((*shed_path, "route"), f"{share.route!r} is not a route")
                 continue
                 continue
             number = self._workloads.index(share.workload) if share.workload is not None else -1
             new = ShedShare(number, share.route or "", share.share)
             if any((earlier.workload, earlier.route) == (new.workload, new.route) for earlier in shed):
-                self._report_fault(shed_path, "its share is said twice")
+                self._report_fault(shed_path, "the share of this workload or route is set twice")
             shed.append(new)
         fully_shed = {entry.workload for entry in shed if entry.share >= 1.0}
         if fully_shed >= set(range(len(self._workloads))):
-            self._report_fault((*path, "shed"), "it sheds all of every workload: that is no service at all")
+            self._report_fault(
+                (*path, "shed"), "it sheds all pulls of every workload: nothing would be served"
+            )
         if measures.ageing and not any(workload.stale_ttl for workload in self._platform.settings.workloads):
             self._report_fault((*path, "ageing"), "no workload has copies that may age: it could never act")
         if measures.later is not None and not self._platform.settings.sends_retry_after:
             self._report_fault((*path, "later"), "the settings do not let clients be told when to come back")
         if measures.later is not None and not shed:
-            self._report_fault((*path, "later"), "it goes with shed pulls, and the level sheds none")
+            self._report_fault((*path, "later"), "it applies to shed pulls only, and the level sheds none")
         actions = LevelActions(
             tuple(shed),
             measures.ageing,
@@ -156,12 +158,12 @@
             measures.later,
         )
         if actions == LevelActions() and not measures.shed:
-            self._report_fault(path, "it leaves nothing out: the level is full service")
+            self._report_fault(path, "it reduces nothing: the level is full service")
         return actions
 
 
 def _possible_ranges(condition: CompoundCondition) -> Iterator[dict[str, tuple[float, float]]]:
-    """Yield each way in which a condition can hold: by signal the range between its bounds."""
+    """Yield the alternatives under which a condition holds, each as the open range of every signal in it."""
     alternatives: list[dict[str, tuple[float, float]]] = [{}]
     for part in condition.parts:
         part_alternatives: list[dict[str, tuple[float, float]]]
@@ -182,7 +184,7 @@
                     earlier_low, earlier_high = ranges.get(signal, (float("-inf"), float("inf")))
                     ranges[signal] = (max(earlier_low, low), min(earlier_high, high))
                 combined.append(ranges)
-        alternatives = combined[:256]  # past so many ways it counts as one that can hold
+        alternatives = combined[:256]  # bounds the work: further alternatives are not checked
     if condition.all:
         yield from alternatives
 
--- a/cometseam/operator/load.py
+++ b/cometseam/operator/load.py
@@ -1,9 +1,9 @@
-"""Loads the operator's file: here, for commands that only look at it; in a child, for a front that serves.
+"""Loads the operator's file: in this process for commands, in a child process for a front.
 
-The child evaluates within bounds of time and memory and checks all; whatever the file does to it, the front
-only hears that it was refused. Where the platform starts no child, a front is named the file's sealed form
-(`compiled_file`), which it reads in its own process without evaluating anything; `load_for_front` and
-`load_for_front_async` choose by the name.
+The child evaluates the file under limits of time and memory and checks it; whatever the file does to the
+child, the front only receives an `OperatorFileError`. On a platform without child processes a front is given
+a compiled file (`compiled_file`), which it reads in its own process without evaluating anything;
+`load_for_front` and `load_for_front_async` choose by the name of the file.
 """
 
 import json
@@ -24,22 +24,25 @@
 from cometseam.operator.compiled import CompiledConfig, Fault, OperatorFileError, decode_compiled
 from cometseam.operator.compiled_file import is_compiled_file, load_compiled_file
 
-EVALUATION = 1.8  # s for the child to come up and evaluate
-CHILD_TIMEOUT_S = 20.0  # s for all, the tree over ten thousand routes included
-MOST = 64 << 20  # bytes that a child may write
+EVALUATION_TIMEOUT_S = 1.8  # for the child to start and evaluate
+CHILD_TIMEOUT_S = 20.0  # for everything, including the tree over ten thousand routes
+MAX_CHILD_OUTPUT_BYTES = 64 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedFile:
-    """A file that can be used, with all that `render` and `explain` tell of it."""
+    """A valid file, with what `render` and `explain` print of it."""
 
     compiled: CompiledConfig
-    compiler: Any  # `compile.Compiler`; a front never holds one
+    compiler: Any  # `compile.Compiler`; untyped, so that a front does not import it
     network_intervals: list[Any]
 
 
 def load(path: Path, settings: dict[str, Any]) -> LoadedFile:
-    """Evaluate and check a file here; `settings` is the object of that name in the configuration."""
+    """Evaluate and check a file in this process; `settings`: the object of that name in the configuration.
+
+    Raises `OperatorFileError` with every fault found.
+    """
     from cometseam.json_section import Section
     from cometseam.operator.compile import Compiler
     from cometseam.operator.evaluate import evaluate
@@ -72,12 +75,16 @@
 
 
 def child_main() -> int:
-    """Be the child: a question on standard input, the answer on standard output."""
-    from cometseam.operator import compiled as compiled
+    """Run the child process: read a request from standard input, write the response to standard output.
+
+    The response is `+` and the output of `encode_compiled`, or `-` and the faults as JSON.
+    """
+    from cometseam.operator import compiled
     from cometseam.operator import evaluate as evaluation
 
     request = json.loads(sys.stdin.buffer.read())
-    import cometseam.operator.compile  # before the bounds: what the libraries take is not the file's doing
+    # Imported before the limits are set, so that importing libraries does not count against them.
+    import cometseam.operator.compile
 
     assert cometseam.operator.compile is not None
     evaluate_unlimited = evaluation.evaluate
@@ -122,15 +129,15 @@
 
 
 def _cannot_start_child(path: Path, error: OSError) -> OperatorFileError:
-    """Guards against a platform that refuses to start processes (ENOSYS, EPERM, EAGAIN from fork or exec)."""
+    """Return the error where the platform starts no process (ENOSYS, EPERM, EAGAIN from fork or exec)."""
     reason = (
-        f"no child can be started here ({error.strerror}): name its sealed form, `cometseam check --seal`"
+        f"no child can be started here ({error.strerror}): use a compiled file, from `cometseam check --seal`"
     )
     return OperatorFileError([Fault("", f"{path.name}: {reason}")])
 
 
 def load_in_child(path: Path, settings: dict[str, Any]) -> CompiledConfig:
-    """Load a file in a child, and wait for it: at the start, when nothing is served yet."""
+    """Load a file in a child and block until it ends; used at startup, before anything is served."""
     try:
         done = subprocess.run(
             COMMAND,
@@ -147,7 +154,7 @@
 
 
 async def load_in_child_async(path: Path, settings: dict[str, Any]) -> CompiledConfig:
-    """Load a file in a child beside what is served; cancelled, or past its time, the child is ended."""
+    """Load a file in a child while the front serves; the child is killed on cancellation or timeout."""
     with anyio.move_on_after(CHILD_TIMEOUT_S):
         try:
             done = await anyio.run_process(COMMAND, input=_child_request(path, settings), check=False)
@@ -158,21 +165,22 @@
 
 
 def load_for_front(path: Path, settings: dict[str, Any]) -> CompiledConfig:
-    """Load the file that a front is named at its start: a sealed form here, Jsonnet in a child."""
+    """Load the file that a front is given at startup: a compiled file in this process, Jsonnet in a child."""
     return load_compiled_file(path, settings) if is_compiled_file(path) else load_in_child(path, settings)
 
 
 async def load_for_front_async(path: Path, settings: dict[str, Any]) -> CompiledConfig:
-    """Load it anew beside what is served: a sealed form on a worker thread, so that the loop goes on."""
+    """Reload the file while the front serves: a compiled file on a thread, to keep the event loop free."""
     if is_compiled_file(path):
         return await _run_in_thread(lambda: load_compiled_file(path, settings))
     return await load_in_child_async(path, settings)
 
 
 async def _run_in_thread(work: Callable[[], CompiledConfig]) -> CompiledConfig:
-    """Do some work on a thread; cancelled, it is left behind, and the process ends without it.
+    """Run `work` on a daemon thread; on cancellation the thread is abandoned and does not delay process exit.
 
-    Guards the end of a front against a file whose reading hangs: a pool's worker threads are joined then.
+    A file whose reading hangs must not block the end of a front; worker threads of a pool would be joined
+    then.
     """
     token, finished = current_token(), anyio.Event()
     outcome: list[CompiledConfig | BaseException] = []
@@ -182,7 +190,7 @@
             outcome.append(work())
         except BaseException as error:
             outcome.append(error)
-        with suppress(anyio.RunFinishedError):  # nobody waits any more: the front has ended
+        with suppress(anyio.RunFinishedError):  # the front has ended: no task awaits the result
             anyio.from_thread.run_sync(finished.set, token=token)
 
     threading.Thread(target=run, name="operator's file", daemon=True).start()
--- a/cometseam/operator/locate.py
+++ b/cometseam/operator/locate.py
@@ -1,7 +1,7 @@
-"""Finds the line of a key in a Jsonnet text, as far as objects and lists are written out there. No I/O.
+"""Finds the line of a key in a Jsonnet text, where objects and lists are written as literals. Does no I/O.
 
-Jsonnet keeps no places once it is evaluated. What is written as a literal from the top of the file on is
-found; what an import, a call or a sum makes is told at the last key above it that is.
+Jsonnet keeps no source locations after evaluation. Keys in literals nested from the top of the file are
+found; for a key that an import, a call or a sum produces, the line of its closest literal parent is returned.
 """
 
 import re
@@ -16,11 +16,12 @@
       |(?P<mark>:::|::|\+:|:|[{}\[\](),;]|.)""",
     re.VERBOSE | re.DOTALL,
 )
-OPENING_BRACKETS, CLOSING_BRACKETS = "{[(", "}])"
+OPENING_BRACKETS = "{[("
+CLOSING_BRACKETS = "}])"
 
 
 class Token(NamedTuple):
-    """A piece of the text, and the line on which it begins."""
+    """A token of the text; `line` is the line on which it begins, from 1."""
 
     kind: str
     text: str
@@ -28,7 +29,7 @@
 
 
 def tokens(source: str) -> Iterator[Token]:
-    """Yield the pieces of a text, without white space and comments."""
+    """Yield the tokens of a text, without white space and comments."""
     line = 1
     for match in TOKEN_PATTERN.finditer(source):
         kind, text = str(match.lastgroup), match.group()
@@ -38,7 +39,7 @@
 
 
 def _skip_balanced(token_list: list[Token], position: int) -> int:
-    """Return the place past the bracket that opens at `at` and all that it holds."""
+    """Return the position after the bracketed text that opens at `position`, or after a single token."""
     depth = 0
     while position < len(token_list):
         if token_list[position].kind == "mark":
@@ -51,7 +52,7 @@
 
 
 def _value_start(token_list: list[Token]) -> int:
-    """Return where the value of the file begins: past its `local` bindings."""
+    """Return the position of the value of the file: after its `local` bindings and asserts."""
     position = 0
     while position < len(token_list) and token_list[position].text in ("local", "assert"):
         while position < len(token_list) and token_list[position].text != ";":
@@ -65,7 +66,7 @@
 
 
 def _literal_entries(token_list: list[Token], position: int) -> Iterator[tuple[str | int, int, int]]:
-    """Yield (key or place, where it stands, where its value begins) of the literal that opens at `at`."""
+    """Yield (key or index, its position, position of its value) for each entry of the literal."""
     is_list, count = token_list[position].text == "[", 0
     end = _skip_balanced(token_list, position) - 1
     position += 1
@@ -95,7 +96,7 @@
 
 
 def locate(source: str, path: tuple[str | int, ...]) -> int | None:
-    """Return the line of a key, or of the last key above it that is written out; None where none is."""
+    """Return the line of a key, or of its closest parent written as a literal; None where there is none."""
     token_list = list(tokens(source))
     position, line = _value_start(token_list), None
     for wanted_key in path:
--- a/cometseam/operator/networks.py
+++ b/cometseam/operator/networks.py
@@ -1,4 +1,4 @@
-"""Sets of addresses, by union and difference, to intervals on the axis of addresses."""
+"""Resolves the named address sets of the operator's file to intervals on the address axis."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class Networks:
-    """The named sets of a file; each is worked out once, and those that name each other are a fault."""
+    """The named address sets of a file, each resolved once; a set that includes itself is a fault."""
 
     def __init__(self, forms: dict[str, NetworkForm], report_fault: ReportFault) -> None:
         self._forms, self._report_fault = forms, report_fault
@@ -29,7 +29,9 @@
         if name in self._sets:
             return self._sets[name]
         if name in self._in_progress:
-            self._report_fault(path, f"{' includes '.join([*self._in_progress, name])}: it holds itself")
+            self._report_fault(
+                path, f"{' includes '.join([*self._in_progress, name])}: a set can't include itself"
+            )
             return netaddr.IPSet()
         self._in_progress.append(name)
         form = self._forms[name]
@@ -52,17 +54,17 @@
                 return netaddr.IPSet(netaddr.IPRange(low.strip(), high.strip()))
             network = netaddr.IPNetwork(entry)
         except (netaddr.AddrFormatError, ValueError, TypeError):
-            self._report_fault(path, f"{entry!r} is no network, no address, no range and no name of a set")
+            self._report_fault(path, f"{entry!r} is not a network, an address, a range or the name of a set")
             return netaddr.IPSet()
         if network.ip != network.network:
             self._report_fault(
-                path, f"{entry!r} has bits beyond its length; {network.cidr} was perhaps meant"
+                path, f"{entry!r} has bits set beyond its prefix length; did you mean {network.cidr}?"
             )
         return netaddr.IPSet([network])
 
 
 def to_intervals(addresses: netaddr.IPSet) -> Intervals:
-    """Return a set as intervals on the axis of addresses, on which IPv4 lies mapped."""
+    """Return a set as intervals on the address axis, where IPv4 addresses are mapped to IPv6."""
     intervals = []
     for address_range in addresses.iter_ipranges():
         low, high = int(address_range.first), int(address_range.last)
@@ -72,7 +74,7 @@
 
 
 def format_intervals(intervals: Intervals, max_shown: int = 3) -> str:
-    """Return intervals as addresses, for people to read."""
+    """Return intervals as readable address ranges, at most `max_shown` of them."""
     shown = []
     for low, high in intervals[:max_shown]:
         is_ipv4 = low >= IPV4_MAPPED_BASE and high <= IPV4_MAPPED_BASE + (1 << 32)
--- a/cometseam/operator/platform.py
+++ b/cometseam/operator/platform.py
@@ -1,4 +1,4 @@
-"""What the platform's configuration settles, apart from the compiler, so that its parts can name it."""
+"""The platform's configuration, in a module of its own to avoid import cycles with the compiler."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """What the platform's configuration settles, and the file is checked against."""
+    """The parts of the platform's configuration that the operator's file is checked against."""
 
     settings: Settings
     names: NameTables
--- a/cometseam/operator/schema.py
+++ b/cometseam/operator/schema.py
@@ -1,7 +1,7 @@
-"""The form of the operator's file: every key with its type, unit, range and default.
+"""Schema of the operator's file: every key with its type, unit, range and default.
 
-Each value is checked here by itself; what only holds together is checked in `compile`. All faults are told
-at once.
+Each value is checked on its own here; checks across values are in `compile`. All faults are reported
+together. Durations are kept in ms, sizes in bytes.
 """
 
 import difflib
@@ -16,7 +16,7 @@
 
 MS_BY_UNIT = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0}
 BYTES_BY_UNIT = {"B": 1.0, "KB": 1024.0, "MB": 1024.0**2, "GB": 1024.0**3}
-MAX_DURATION_MS = 600_000.0  # ms: no pull waits for longer
+MAX_DURATION_MS = 600_000.0  # no pull waits for longer
 QUANTITY_PATTERN = re.compile(r"(-?[0-9]+(?:\.[0-9]+)?) *([A-Za-z]+)")
 HEX_PATTERN = re.compile(r"[0-9a-f]{1,16}")
 
@@ -29,12 +29,12 @@
         raise ValueError(f"{what} was expected, as {example}, not {_short_repr(value)}")
     number, unit = match.groups()
     if unit not in units:
-        raise ValueError(f"{unit!r} is no unit of {what}; known are {', '.join(units)}")
+        raise ValueError(f"{unit!r} is not a unit of {what}; known are {', '.join(units)}")
     return float(number) * units[unit]
 
 
 def parse_duration(value: Any) -> float:
-    """Return a duration in ms; it carries its unit."""
+    """Return a duration such as "250ms" in ms; raises `ValueError` without a known unit or out of range."""
     time = _parse_quantity(value, MS_BY_UNIT, "a duration", '"250ms"')
     if time < 0.0:
         raise ValueError(f"a duration can't be negative: {_short_repr(value)}")
@@ -46,7 +46,7 @@
 
 
 def parse_size(value: Any) -> float:
-    """Return a size in bytes; it carries its unit."""
+    """Return a size such as "300KB" in bytes; raises `ValueError` without a known unit or below zero."""
     count = _parse_quantity(value, BYTES_BY_UNIT, "a size", '"300KB"')
     if count < 0.0:
         raise ValueError(f"a size can't be negative: {_short_repr(value)}")
@@ -54,7 +54,7 @@
 
 
 def parse_number(value: Any) -> float:
-    """Return a finite number."""
+    """Return a number as a float; raises `ValueError` where it is none or not finite."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"a number was expected, not {_short_repr(value)}")
     if not math.isfinite(value):
@@ -63,33 +63,33 @@
 
 
 def parse_integer(value: Any) -> int:
-    """Return a whole number."""
+    """Return a whole number as an int; raises `ValueError` for any other value."""
     if parse_number(value) != int(value):
         raise ValueError(f"a whole number was expected, not {_short_repr(value)}")
     return int(value)
 
 
 def expand_span(value: Any) -> Any:
-    """Let a duration stand for a span without a part."""
+    """Expand a bare duration to a span with that `base`."""
     return {"base": value} if isinstance(value, str) else value
 
 
 def expand_time_out(value: Any) -> Any:
-    """Let a span stand for the time-out of first and further relays alike."""
+    """Expand a bare span to a time-out whose `first` it is; `further` then defaults to `first`."""
     if isinstance(value, str) or (isinstance(value, dict) and value.keys() & {"base", "part"}):
         return {"first": value}
     return value
 
 
 def expand_range(value: Any) -> Any:
-    """Let a whole number stand for the range that holds it alone."""
+    """Expand a bare number to the range of that number only."""
     if isinstance(value, int | float) and not isinstance(value, bool):
         return {"from": value, "to": value}
     return value
 
 
 def wrap_in_list(value: Any) -> Any:
-    """Let one value stand for a list of it."""
+    """Expand a single value to a list of that value."""
     return value if isinstance(value, list) else [value]
 
 
@@ -103,13 +103,13 @@
 
 
 class Strict(BaseModel):
-    """Nothing is passed over, nothing is turned into another type."""
+    """Base of all forms: rejects unknown keys and does not convert types."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True, populate_by_name=False)
 
 
 class SpanForm(Strict):
-    """`base`, and `part` times the pull's own sending time."""
+    """A duration of `base` plus `part` times the pull's sending time."""
 
     base: Duration = 0.0
     part: Annotated[Number, Field(ge=0.0, le=100.0)] = 0.0
@@ -119,7 +119,7 @@
 
 
 class TimeOutForm(Strict):
-    """For the first relay of a pull, and for further ones after a failure."""
+    """Time-outs of the first relay of a pull, and of further relays after a failure."""
 
     first: SpanField | None = None
     further: SpanField | None = None
@@ -129,7 +129,7 @@
 
 
 class TimeOutsForm(Strict):
-    """By what a relay is for."""
+    """Time-outs by the kind of relay: cache lookup, fill, or direct to the origin."""
 
     look: TimeOutField | None = None
     fill: TimeOutField | None = None
@@ -137,7 +137,7 @@
 
 
 class WaitForm(Strict):
-    """Between a failure and the further relay."""
+    """The wait between a failure and the further relay: `base`, multiplied by `growth` up to `most`."""
 
     base: Duration
     growth: Annotated[Number, Field(ge=1.0, le=10.0)] = 2.0
@@ -152,7 +152,7 @@
 
 
 class SecondForm(Strict):
-    """When a relay that is out is given up for another elsewhere."""
+    """When a relay in flight is given up for a second one at another endpoint."""
 
     after: SpanField
     keep_first: bool = False
@@ -162,14 +162,14 @@
     def _reject_keep_first(self) -> Self:
         if self.keep_first:
             raise ValueError(
-                "keep_first: the second would be sent while the first is still out; a pull's relays are "
-                "never out together"
+                "keep_first: the second would be sent while the first is still in flight; a pull never has "
+                "two relays in flight"
             )
         return self
 
 
 class BudgetForm(Strict):
-    """Further relays as a share of first ones."""
+    """A retry budget: further relays as a share of first ones in a window; `fleet` limits all fronts."""
 
     share: Annotated[Number, Field(ge=0.0, le=1.0)]
     window: Annotated[Duration, Field(ge=1000.0)] = 10_000.0
@@ -178,7 +178,7 @@
 
 
 class PlanForm(Strict):
-    """What may be set for a default, a workload or a route; null takes an inherited value back."""
+    """What the default, a workload or a route can set; null resets an inherited value to the built-in one."""
 
     time_outs: TimeOutsForm | None = None
     relays: Annotated[Integer, Field(ge=1, le=64)] | None = None
@@ -191,7 +191,7 @@
 
 
 class RangeForm(Strict):
-    """Whole numbers from one to another, both in it."""
+    """A range of whole numbers, both ends included."""
 
     from_: Annotated[Integer, Field(ge=0)] = Field(default=0, alias="from")
     to: Annotated[Integer, Field(ge=0)] | None = None
@@ -213,7 +213,7 @@
 
 
 class ObjectsForm(Strict):
-    """Objects by the first hex digits of their names, or from one to another, both in it."""
+    """Objects by the first hex digits of their names, or a range of names with both ends included."""
 
     prefix: HexDigits | None = None
     from_: HexDigits | None = Field(default=None, alias="from")
@@ -229,7 +229,7 @@
 
 
 class SizeForm(Strict):
-    """Sizes of a part from one, in it, to another, not in it."""
+    """A range of part sizes; `from` is included, `to` is not."""
 
     from_: Annotated[float, BeforeValidator(parse_size)] = Field(default=0.0, alias="from")
     to: Annotated[float, BeforeValidator(parse_size)] | None = None
@@ -250,7 +250,7 @@
 
 
 class MatchForm(Strict):
-    """What a route matches: all that is named must hold, one of each list."""
+    """What a route matches: every key given must match; a list matches where one of its values does."""
 
     workload: StringList | None = None
     objects: Annotated[list[ObjectsForm], BeforeValidator(wrap_in_list), Field(min_length=1)] | None = None
@@ -261,7 +261,7 @@
 
 
 class RouteForm(Strict):
-    """One route; the first in the file that matches a pull is taken."""
+    """One route; the first route in the file that matches a pull applies."""
 
     name: Annotated[str, Field(min_length=1, max_length=64)]
     match: MatchForm = MatchForm()
@@ -269,7 +269,7 @@
 
 
 class NetworkForm(Strict):
-    """A set of addresses: networks, addresses, ranges `a-b`, names of other sets, less what is excluded."""
+    """A set of addresses: networks, addresses, ranges `a-b` and names of other sets, without `exclude`."""
 
     include: StringList
     exclude: Annotated[list[str], BeforeValidator(wrap_in_list)] = []
@@ -277,7 +277,7 @@
 
 
 class ConditionForm(Strict):
-    """A signal past a bound for a time; or all, or any, of some conditions."""
+    """A signal beyond a bound for a duration (`for`); or all, or any, of several conditions."""
 
     signal: str | None = None
     above: Number | None = None
@@ -299,7 +299,7 @@
 
 
 class ShedForm(Strict):
-    """A share of the pulls of a workload or a route."""
+    """A share of the pulls of a workload or a route to shed."""
 
     workload: str | None = None
     route: str | None = None
@@ -313,7 +313,7 @@
 
 
 class MeasuresForm(Strict):
-    """What a level leaves out."""
+    """What a level reduces or turns off."""
 
     shed: list[ShedForm] = []
     ageing: bool = False
@@ -335,7 +335,7 @@
 
 
 class LevelsForm(Strict):
-    """The levels, from the first below full service to the least."""
+    """The levels of reduced service (`steps`), from the least to the most reduced."""
 
     spread: Annotated[Number, Field(ge=0.0, le=1.0)] = 0.5
     calm: Annotated[Duration, Field(ge=10_000.0)] = 60_000.0
@@ -345,7 +345,7 @@
 
 
 class TaskForm(Strict):
-    """A task that one front of the fleet holds at a time: its lease."""
+    """The lease of a task that one front of the fleet holds at a time."""
 
     ttl: Duration
     margin: Duration
@@ -353,7 +353,7 @@
 
 
 class ProbingForm(Strict):
-    """How the holder of the task `probe` probes caches, and how long its verdicts hold."""
+    """How the holder of the task `probe` probes caches, and how long its verdicts are valid."""
 
     interval: Annotated[Duration, Field(ge=100.0)] = 1000.0
     within: Annotated[Duration, Field(ge=10.0)] = 300.0
@@ -365,20 +365,23 @@
 
 
 class LogForm(Strict):
-    """One front, the holder of the task `list`, reads the change log for all; one log, one numbering."""
+    """One front, the holder of the task `list`, polls the discovery event log for the whole fleet.
+
+    It requires one log with one numbering of its events for all fronts.
+    """
 
     bound: Annotated[Duration, Field(ge=2500.0)] = 4000.0
 
 
 class RelaysForm(Strict):
-    """How many relays all fronts that send there may have out at one cache, and at one parent."""
+    """How many relays the whole fleet may have in flight at one cache, and at one parent."""
 
     caches: Annotated[Integer, Field(ge=1, le=1_000_000)] | None = None
     parents: Annotated[Integer, Field(ge=1, le=1_000_000)] | None = None
 
 
 class LimitsForm(Strict):
-    """What cold caches bear is shared out among the fronts by the holder of the task `limits`."""
+    """The holder of the task `limits` divides the capacity of cold caches among the fronts."""
 
     refresh: Annotated[Duration, Field(ge=50.0)] = 500.0
     lasts: Annotated[Duration, Field(ge=200.0)] = 3000.0
@@ -386,7 +389,7 @@
 
 
 class FleetForm(Strict):
-    """The front's part in the fleet: a coordination service, and the tasks held on it."""
+    """The fleet: its coordination service, and the tasks whose leases are held there."""
 
     service: Annotated[str, Field(min_length=1, max_length=255)]
     round_trip: Annotated[Duration, Field(gt=0.0)] = 100.0
@@ -400,7 +403,7 @@
 
 
 class FrontForm(Strict):
-    """What holds for the front as a whole."""
+    """Settings of the front as a whole."""
 
     budget: BudgetForm | None = None
 
@@ -420,7 +423,7 @@
 
 
 def validate_file(value: Any) -> tuple[FileForm | None, list[tuple[tuple[str | int, ...], str]]]:
-    """Check the form of a value; return it with no faults, or nothing with each fault's path and reason."""
+    """Validate a value; return the form without faults, or None with the path and reason of each fault."""
     try:
         return FileForm.model_validate(value), []
     except ValidationError as error:
@@ -470,7 +473,7 @@
 
 
 def _known_keys(path: tuple[str | int, ...]) -> list[str]:
-    """Return the keys that the object at a path may have."""
+    """Return the keys that the object at a path can have."""
     annotation: Any = FileForm
     for step in path:
         field = (
@@ -485,7 +488,7 @@
 
 
 def _nested_form(annotation: Any) -> Any:
-    """Return the form that an annotation holds at last."""
+    """Return the form class nested in an annotation, or the annotation where there is none."""
     pending = [annotation]
     while pending:
         candidate = pending.pop()
@@ -496,7 +499,7 @@
 
 
 def format_path(path: tuple[str | int, ...]) -> str:
-    """Return a path as it is told: `routes[3].plan.relays`."""
+    """Return a path as text, such as `routes[3].plan.relays`."""
     text = ""
     for step in path:
         text += f"[{step}]" if isinstance(step, int) else f".{step}" if text else str(step)
@@ -504,5 +507,5 @@
 
 
 def make_fault(path: tuple[str | int, ...], reason: str, location: str) -> Fault:
-    """Return a fault with its path shown."""
+    """Return a fault with its path formatted."""
     return Fault(format_path(path), reason, location)
