--- a/cometseam/cli/__init__.py
+++ b/cometseam/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The command line. It decides nothing: commands ask the packages that do, and print what they say."""
+"""The command line: each command calls the package that does the work and prints the result.
+
+A pull is a client's request; a relay is one attempt of a pull at an endpoint.
+"""
 
 from cometseam.cli.main import run_commands
 
--- a/cometseam/cli/levels.py
+++ b/cometseam/cli/levels.py
@@ -21,13 +21,13 @@
     loaded = load_file(file, against, as_json, invalid_exit_status)
     policy = loaded.compiled.level_policy
     if policy is None:
-        exit_with_error(f"{file}: it sets no levels")
+        exit_with_error(f"{file}: the file has no levels")
     return policy, signal_names(loaded.compiler.platform.names.workloads)
 
 
 @app.command()
 def check(file: FileArgument, against: ConfigOption = None, as_json: JsonOption = False) -> None:
-    """Check the levels with all of the file, and print them. Status 1 where the file may not be loaded."""
+    """Check the whole file and print its levels. Status 1 where the file can't be used."""
     policy, _ = _load_level_policy(file, against, as_json, invalid_exit_status=1)
     levels = [
         {
@@ -50,13 +50,13 @@
 @app.command(name="replay")
 def replay_series(
     file: FileArgument,
-    series: Annotated[Path, typer.Argument(help="Rows of t,signal,… as text.")],
-    seed: Annotated[int, typer.Option(help="Draws how much later than others this front acts.")] = 1,
-    plot: Annotated[Path | None, typer.Option(help="Write a plot there, as PNG or SVG.")] = None,
+    series: Annotated[Path, typer.Argument(help="Text file with rows of t,signal,…")],
+    seed: Annotated[int, typer.Option(help="Seed of the random delay after which this front acts.")] = 1,
+    plot: Annotated[Path | None, typer.Option(help="Write a plot to this file, PNG or SVG.")] = None,
     against: ConfigOption = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Tell which changes of level a recorded or written series of signals makes, and the time in each."""
+    """Replay a series of signal values; print the level changes and the time spent in each level."""
     policy, names = _load_level_policy(file, against, as_json)
     try:
         rows = parse_series(series.read_text(), names)
@@ -120,27 +120,29 @@
 @app.command()
 def explain(
     file: FileArgument,
-    level: Annotated[str, typer.Option(help="The present level, by name.")],
-    signal: Annotated[list[str], typer.Option(help="A signal's value, as link=1.3; else not known.")],
+    level: Annotated[str, typer.Option(help="Name of the current level.")],
+    signal: Annotated[
+        list[str], typer.Option(help="A signal's value, such as link=1.3; signals not given are unknown.")
+    ],
     stayed: Annotated[float, typer.Option(help="Seconds in the level so far.")] = 10.0,
     against: ConfigOption = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Tell what would have to change to leave a level, up or down. Status 1 where nothing keeps it there."""
+    """Print what would have to change to leave a level, up or down. Status 1 where it would change now."""
     policy, names = _load_level_policy(file, against, as_json)
     number = policy.level_number(level)
     if number is None:
-        levels = ", ".join(policy.level_name(signal_value) for signal_value in range(len(policy.levels) + 1))
-        exit_with_error(f"--level: {level!r} is no level; they are {levels}")
+        levels = ", ".join(policy.level_name(each) for each in range(len(policy.levels) + 1))
+        exit_with_error(f"--level: {level!r} is not a level; known are {levels}")
     values: dict[str, float | None] = {}
     for signal_value in signal:
         name, _, value = signal_value.partition("=")
         try:
             values[name] = float(value)
         except ValueError:
-            exit_with_error(f"--signal: a value was expected, as link=1.3, not {signal_value!r}")
+            exit_with_error(f"--signal: a value such as link=1.3 was expected, not {signal_value!r}")
         if name not in names:
-            exit_with_error(f"--signal: {name!r} is no signal; known are {', '.join(names)}")
+            exit_with_error(f"--signal: {name!r} is not a signal; known are {', '.join(names)}")
     state_machine = LevelStateMachine(policy, Random(0), number)
     state_machine.since_change_ms = 1000.0 * stayed
     lines = state_machine.explain(values)
--- a/cometseam/cli/loading.py
+++ b/cometseam/cli/loading.py
@@ -1,4 +1,4 @@
-"""How commands load an operator's file, and end where it can't be used."""
+"""Loading of operator's files for commands, with exit statuses for files that can't be used."""
 
 import json
 import os
@@ -17,19 +17,19 @@
 FileArgument = Annotated[Path, typer.Argument(help="The operator's file, Jsonnet.")]
 ConfigOption = Annotated[
     Path | None,
-    typer.Option(help="The platform's configuration; else what ROUTER_CONFIG names, else the sample's."),
+    typer.Option(help="The platform's configuration; default: the file in ROUTER_CONFIG, else the sample."),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON, for programs.")]
 
 
 def exit_with_error(text: str) -> NoReturn:
-    """End with one line and status 2."""
+    """Print one line to standard error and exit with status 2."""
     print(f"cometseam: {text}", file=sys.stderr)
     raise typer.Exit(2)
 
 
 def load_settings(against: Path | None) -> dict[str, Any]:
-    """Return the object of settings that a file is checked against."""
+    """Return the settings object that a file is checked against; exits where it is unusable."""
     path = against or Path(os.environ.get(CONFIG_VARIABLE, "") or "deploy/sample.json")
     try:
         section = Section(json.loads(path.read_bytes())).section("settings")
@@ -43,7 +43,10 @@
 
 
 def load_file(file: Path, against: Path | None, as_json: bool, invalid_exit_status: int = 2) -> LoadedFile:
-    """Load a file, or end with its faults told; first apart, as a front does: it may loop."""
+    """Load a file, or print its faults and exit with `invalid_exit_status`.
+
+    Loads it in a child under resource limits first, as a front does, because evaluating it may loop.
+    """
     settings = load_settings(against)
     try:
         if not file.is_file():
@@ -64,12 +67,12 @@
 
 
 def write_compiled_file(path: Path, loaded: LoadedFile, settings: dict[str, Any]) -> None:
-    """Write the sealed form of a checked file, whole or not at all; a name not in .json is refused."""
+    """Write the compiled file atomically; exits with an error where the name does not end in .json."""
     from cometseam.operator.compiled import encode_compiled
     from cometseam.operator.compiled_file import COMPILED_FILE_SUFFIX, encode_compiled_file
 
     if not path.name.endswith(COMPILED_FILE_SUFFIX):
-        exit_with_error(f"--seal {path}: a front takes a sealed form by a name in {COMPILED_FILE_SUFFIX}")
+        exit_with_error(f"--seal {path}: the name of a compiled file must end in {COMPILED_FILE_SUFFIX}")
     text = encode_compiled_file(encode_compiled(loaded.compiled, loaded.network_intervals), settings)
     temporary_path = path.with_name(f".{path.name}.part")
     try:
--- a/cometseam/cli/main.py
+++ b/cometseam/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands, on typer. Exit status: 0 good, 1 the answer is no, 2 input that can't be used."""
+"""The commands, defined with typer. Exit status: 0 success, 1 a negative result, 2 unusable input."""
 
 import json
 import os
@@ -33,7 +33,7 @@
 
 
 class LogFormat(StrEnum):
-    """How log lines look."""
+    """The format of log lines."""
 
     TEXT = "text"
     JSON = "json"
@@ -42,9 +42,9 @@
 @app.command()
 def serve(
     operator: Annotated[Path | None, typer.Option(help="The operator's file.")] = None,
-    log_format: Annotated[LogFormat | None, typer.Option(help="How log lines look.")] = None,
+    log_format: Annotated[LogFormat | None, typer.Option(help="The format of log lines.")] = None,
 ) -> None:
-    """Run a front until SIGTERM, as `python -m cometseam` alone does."""
+    """Run a front until SIGTERM, like `python -m cometseam` without a command."""
     from cometseam.serving import serve as run
 
     if operator is not None:
@@ -61,13 +61,15 @@
     as_json: JsonOption = False,
     seal: Annotated[
         Path | None,
-        typer.Option(help="Write the sealed form here, for fronts that may start no child: a name in .json."),
+        typer.Option(
+            help="Write the compiled file here, for fronts without child processes; the name ends in .json."
+        ),
     ] = None,
 ) -> None:
-    """Check an operator's file whole, against the platform's settings; all faults are told at once.
+    """Check an operator's file against the platform's settings and print all of its faults.
 
-    Status 1 where it may not be loaded. With `--seal`, the checked file is written in the form that a front
-    reads in its own process; it is replaced whole or not at all.
+    Status 1 where the file can't be used. With `--seal`, writes the compiled file, which a front reads in its
+    own process; an existing file is replaced atomically.
     """
     loaded = load_file(file, against, as_json, invalid_exit_status=1)
     compiled = loaded.compiled
@@ -87,7 +89,7 @@
 
 @app.command()
 def render(file: FileArgument, against: ConfigOption = None, as_json: JsonOption = False) -> None:
-    """Print the plans with defaults filled in, and where each value came from."""
+    """Print the plans with defaults filled in, and the source of each value."""
     loaded = load_file(file, against, as_json)
     entries = render_plans(loaded.compiler)
     if as_json:
@@ -111,9 +113,9 @@
     against: ConfigOption = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Tell which route a pull takes, why not an earlier one, and its relays step by step with their times.
+    """Print the route of a pull, why earlier routes don't match, and its relays step by step.
 
-    Status 1 where no route and no workload's plan holds it, so that the front decides as without a file.
+    Status 1 where no route and no workload's plan matches, so that the front uses its built-in defaults.
     """
     loaded = load_file(file, against, as_json)
     names = loaded.compiler.platform.names.workloads
@@ -146,7 +148,7 @@
 
 
 def run_commands() -> int:
-    """Run the command that the words name; what typer finds wrong with them is status 2."""
+    """Run the command given on the command line and return its exit status; 2 for invalid arguments."""
     try:
         app()
     except SystemExit as exit_request:
--- a/cometseam/cli/show.py
+++ b/cometseam/cli/show.py
@@ -1,11 +1,11 @@
-"""What `render` and `explain` print, as plain values."""
+"""The output of `render` and `explain` as JSON-compatible values."""
 
 from typing import Any
 
 from cometseam.interface import Plan, RelayKind, RetryBudgetTerms
 from cometseam.operator.compile import BUILT_IN_DEFAULT, Compiler, RouteEntry
 from cometseam.operator.load import LoadedFile
-from cometseam.operator.networks import format_intervals as format_intervals
+from cometseam.operator.networks import format_intervals
 from cometseam.timing.intervals import Intervals
 from cometseam.timing.retry_policy import max_retry_wait, scaled_duration
 from cometseam.timing.table import AXES, AXIS_ENDS, BYTES_PER_KB, RouteKey, any_contains
@@ -15,7 +15,7 @@
 
 
 def _plan_values(plan: Plan) -> dict[str, Any]:
-    """Return the leaves of a plan by their key in the file."""
+    """Return the values of a plan as text, by their key in the file."""
     values: dict[str, Any] = {}
     for kind in RelayKind:
         for index, name in enumerate(("first", "further")):
@@ -57,7 +57,7 @@
 
 
 def render_plans(compiler: Compiler) -> list[dict[str, Any]]:
-    """Return each entry with all its values and where each came from."""
+    """Return each route entry with all its plan values and the source of each."""
     names = compiler.platform.names.workloads
     return [
         {
@@ -89,7 +89,7 @@
 
 
 def explain_route(loaded: LoadedFile, route_key: RouteKey, kb: float) -> dict[str, Any]:
-    """Return the route taken, why the earlier ones did not match, and the longest course of the relays."""
+    """Return the matching route, why earlier ones did not match, the budgets and the worst-case steps."""
     compiler: Compiler = loaded.compiler
     table, names = loaded.compiled.table, compiler.platform.names.workloads
     found = table.find(route_key)
@@ -122,7 +122,10 @@
 
 
 def worst_case_steps(plan: Plan, compiler: Compiler, workload: int, kb: float) -> list[dict[str, Any]]:
-    """Return the longest course of a pull: each relay up to its time-out, each wait at its longest."""
+    """Return the steps of a pull in the worst case: relays end at their time-outs, waits are longest.
+
+    `from` of each step is in ms after the start of the pull; `kb` is the size of the part in KB.
+    """
     settings = compiler.platform.settings
     rules = settings.workloads[workload]
     sending = kb / settings.stream_rate if settings.stream_rate else 0.0
--- a/cometseam/cli/soak.py
+++ b/cometseam/cli/soak.py
@@ -1,4 +1,4 @@
-"""The command `cometseam soak`: seeded faults on real fronts, judged by the rules of the service."""
+"""The command `cometseam soak`: runs real fronts under seeded faults and checks the rules of the service."""
 
 import json
 from pathlib import Path
@@ -16,16 +16,16 @@
 
 def soak(
     seed: Annotated[int, typer.Option(help="The first seed.")] = 1,
-    count: Annotated[int, typer.Option(min=1, help="How many seeds, one after the other.")] = 1,
-    beside: Annotated[int, typer.Option(min=1, help="How many of them run at once.")] = 1,
-    seconds: Annotated[float, typer.Option(min=1.0, help="How long faults come, of each seed.")] = 12.0,
-    fronts: Annotated[int, typer.Option(min=1, help="Processes of fronts.")] = 3,
-    config: Annotated[Path, typer.Option(help="A front's configuration, whose settings are kept.")] = SAMPLE,
-    out: Annotated[Path, typer.Option(help="Where timelines and logs go.")] = Path("soak-out"),
+    count: Annotated[int, typer.Option(min=1, help="Number of consecutive seeds.")] = 1,
+    beside: Annotated[int, typer.Option(min=1, help="Number of seeds that run in parallel.")] = 1,
+    seconds: Annotated[float, typer.Option(min=1.0, help="Duration of the faults of each seed.")] = 12.0,
+    fronts: Annotated[int, typer.Option(min=1, help="Number of front processes.")] = 3,
+    config: Annotated[Path, typer.Option(help="A front's configuration; its settings are used.")] = SAMPLE,
+    out: Annotated[Path, typer.Option(help="Folder for timelines and logs.")] = Path("soak-out"),
 ) -> None:
-    """Run real fronts among stand-ins under faults drawn from a seed, and check every rule over the history.
+    """Run real fronts with simulated endpoints under seeded faults; check all rules on the history.
 
-    Loopback only. Status 1 where a rule was broken; each failing seed is printed with what replays it.
+    Uses loopback only. Status 1 where a rule was violated; prints the command that replays each failing seed.
     """
     front_config = json.loads(config.read_text())
     terms = SoakTerms(seconds=seconds, fronts=fronts)
@@ -52,7 +52,7 @@
 
 
 def _run(seed: int, terms: SoakTerms, config: dict[str, Any], folder: Path) -> Outcome:
-    """Run one seed in a process of its own: its stand-ins must not come late for another's."""
+    """Run one seed; in its own process, so that seeds don't delay each other's simulated endpoints."""
     return anyio.run(run_seed, seed, terms, config, folder)
 
 
