--- a/tests/test_front_plans.py
+++ b/tests/test_front_plans.py
@@ -20,9 +20,9 @@
 from tests.test_operator import BAD, EXAMPLE
 
 pytestmark = pytest.mark.anyio
-GOOD = """{ version: 1, largest: { maps: '300KB', grids: '300KB' },
+WAIT_FILE = """{ version: 1, largest: { maps: '300KB', grids: '300KB' },
   workloads: { maps: { relays: %d, until: 'cut-off', wait: { base: '%dms' } } } }"""
-COPY = "tag=4be0c1927d55a6f3,minted=1,why=cached"
+ANSWER_FIELDS = "tag=4be0c1927d55a6f3,minted=1,why=cached"
 
 
 @pytest.fixture
@@ -30,104 +30,110 @@
     return "asyncio"
 
 
-async def refused_again(here: World, had: int) -> None:
+async def wait_for_refusals(front_world: World, previous_count: int) -> None:
     """Wait until the log tells of more refusals than it had."""
-    await here.news.until(lambda: here.output.count(b"; the one that runs stays") > had)
+    await front_world.news.until(
+        lambda: front_world.output.count(b"; the one that runs stays") > previous_count
+    )
 
 
-async def test_the_front_goes_on_after_each_bad_file_at_reload(tmp_path: Path) -> None:
+async def test_the_front_keeps_serving_after_each_bad_file_at_reload(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_text("{ version: 1 }")
-    plain = [file for file in BAD if not file.read_text().startswith("// against")]
-    bad = [file for file in plain if not file.stem.startswith("text-") or "endless" in file.stem]
+    default_settings_files = [file for file in BAD if not file.read_text().startswith("// against")]
+    bad = [
+        file for file in default_settings_files if not file.stem.startswith("text-") or "endless" in file.stem
+    ]
     with anyio.fail_after(200):
-        async with world(tmp_path, operator=path, patience=200) as here:
+        async with world(tmp_path, operator=path, patience=200) as front_world:
             for number, file in enumerate(bad, 1):
-                refused = here.output.count(b"; the one that runs stays")
+                refused_count = front_world.output.count(b"; the one that runs stays")
                 path.write_text(file.read_text())
-                here.process.send_signal(signal.SIGHUP)
+                front_world.process.send_signal(signal.SIGHUP)
                 # Each fault is a line: a reading that is given up for a newer file would log none.
                 lines = len(file.with_suffix(".reason").read_text().splitlines())
-                await refused_again(here, refused + lines - 1)
+                await wait_for_refusals(front_world, refused_count + lines - 1)
                 if number % 16 == 0:  # it serves as before
-                    client = await here.call()
+                    client = await front_world.call()
                     await client.send(order(number))
-                    asked = await here.first()
-                    await asked.answer("DONE", COPY, b"fine")
+                    relay = await front_world.first()
+                    await relay.answer("DONE", ANSWER_FIELDS, b"fine")
                     assert (await client.next()).body == b"fine"
             path.write_text("{ version: 1, default: { relays: 2, until: 'cut-off' } }")
-            here.process.send_signal(signal.SIGHUP)
-            await here.logged(b"operator's file: taken over, 2 routes")
-            counters = await here.stop()
+            front_world.process.send_signal(signal.SIGHUP)
+            await front_world.logged(b"operator's file: taken over, 2 routes")
+            counters = await front_world.stop()
             assert counters["operator.refused"] == len(bad) > 50 and counters["operator.taken"] == 1
 
 
 async def test_a_pull_that_waits_between_relays_keeps_its_plan_across_a_reload(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
-    path.write_text(GOOD % (2, 2400))
-    async with world(tmp_path, "cache-2", operator=path) as here:
-        client = await here.call()
+    path.write_text(WAIT_FILE % (2, 2400))
+    async with world(tmp_path, "cache-2", operator=path) as front_world:
+        client = await front_world.call()
         await client.send(order(1, limit="9000"))
-        await (await here.first()).answer("BROKE")
-        began = time.monotonic()
+        await (await front_world.first()).answer("BROKE")
+        started_at = time.monotonic()
         path.write_text("{ version: 1, default: { relays: 1 } }")
-        here.process.send_signal(signal.SIGHUP)
-        await here.logged(b"taken over")
-        assert time.monotonic() - began < 2.4, "the reload took longer than the wait"
-        asked = await here.first()  # by its old plan a further relay goes, after its wait
-        assert time.monotonic() - began >= 2.38
-        await asked.answer("DONE", COPY, b"late")
+        front_world.process.send_signal(signal.SIGHUP)
+        await front_world.logged(b"taken over")
+        assert time.monotonic() - started_at < 2.4, "the reload took longer than the wait"
+        relay = await front_world.first()  # by its old plan a further relay goes, after its wait
+        assert time.monotonic() - started_at >= 2.38
+        await relay.answer("DONE", ANSWER_FIELDS, b"late")
         assert (await client.next()).body == b"late"
         await client.send(order(2))
-        await (await here.first()).answer("BROKE")
+        await (await front_world.first()).answer("BROKE")
         assert (await client.next()).code == 2  # by the new plan none goes
-        await here.stop()
+        await front_world.stop()
 
 
-async def test_the_log_as_json_holds_only_events_of_the_vocabulary(tmp_path: Path) -> None:
+async def test_the_json_log_has_only_declared_events_and_fields(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_text("{ version: 1 }")
-    async with world(tmp_path, operator=path, log="json", listens=b'"front.listens"') as here:
-        client = await here.call()
+    async with world(tmp_path, operator=path, log="json", listens=b'"front.listens"') as front_world:
+        client = await front_world.call()
         await client.send(b"\xff" * 64)
         assert await client.next() and await client.ended()
         path.write_text("{ version: 3 }")
-        here.process.send_signal(signal.SIGHUP)
-        await here.logged(b'"operator.refused"')
-        here.process.send_signal(signal.SIGTERM)
-        assert await here.process.wait() == 0
-        await here.logged(b'"at exit"')
-        lines = [json.loads(line) for line in here.output.decode().splitlines()]
+        front_world.process.send_signal(signal.SIGHUP)
+        await front_world.logged(b'"operator.refused"')
+        front_world.process.send_signal(signal.SIGTERM)
+        assert await front_world.process.wait() == 0
+        await front_world.logged(b'"at exit"')
+        lines = [json.loads(line) for line in front_world.output.decode().splitlines()]
         for line in lines:
-            known = EVENTS[line["event"]]
+            spec = EVENTS[line["event"]]
             fields = {key: value for key, value in line.items() if key not in ("time", "level", "event")}
-            assert line["level"] == known.level and fields.keys() == known.fields.keys()
-            assert all(isinstance(fields[name], kind) for name, kind in known.fields.items())
+            assert line["level"] == spec.level and fields.keys() == spec.fields.keys()
+            assert all(isinstance(fields[name], field_type) for name, field_type in spec.fields.items())
         refused = next(line for line in lines if line["event"] == "operator.refused")
         assert refused["reason"] == "3 is none of 1" and refused["place"] == "operator.jsonnet:1: "
         assert lines[-1]["counts"]["operator.refused"] == 1
 
 
-PLANS = """{ version: 1, largest: { maps: '300KB', grids: '300KB' },
+SECOND_RELAY_FILE = """{ version: 1, largest: { maps: '300KB', grids: '300KB' },
   workloads: { maps: { relays: 3, until: 'cut-off', second: { after: '120ms' } },
     grids: { time_outs: { look: '900ms' } } } }"""
 STALL, PULLS, AT_ONCE = 0.45, 2000, 24
 
 
 @asynccontextmanager
-async def among(folder: Path, caches: Caches, plans: str) -> AsyncIterator[World]:
+async def world_with_caches(folder: Path, caches: Caches, plans: str) -> AsyncIterator[World]:
     """The program with a list of stand-ins that run in a thread of their own."""
     path = folder / "operator.jsonnet"
     path.write_text(plans)
-    lines = []
+    named_addresses = []
     for number, address in enumerate(caches.addresses):
-        lines.append((f"cache-{number + 1}", address))
-    more = (name for name, _ in lines[1:])
-    async with world(folder, *more, operator=path, patience=120, at=dict(lines)) as here:
-        yield here
+        named_addresses.append((f"cache-{number + 1}", address))
+    other_names = (name for name, _ in named_addresses[1:])
+    async with world(
+        folder, *other_names, operator=path, patience=120, at=dict(named_addresses)
+    ) as front_world:
+        yield front_world
 
 
-async def test_beside_a_cache_that_stalls_second_copies_never_leave_two_relays_out(tmp_path: Path) -> None:
+async def test_with_a_stalling_cache_second_relays_never_leave_two_in_flight(tmp_path: Path) -> None:
     """The judge is the stand-ins' own record. Maps go on elsewhere in their short time, grids wait."""
 
     def behave(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
@@ -135,71 +141,71 @@
         delay = 0.001
         if cache == 0 and asked % 4 == 0:
             delay = STALL if asked % 8 else 0.12
-        return delay, "DONE", COPY, f"{fields['lane']}-{cache}".encode()
+        return delay, "DONE", ANSWER_FIELDS, f"{fields['lane']}-{cache}".encode()
 
-    took: dict[str, list[tuple[float, str]]] = {"maps": [], "grids": []}
+    served: dict[str, list[tuple[float, str]]] = {"maps": [], "grids": []}
     answers: dict[int, int] = {}
     with Caches(3, behave) as caches:
-        async with among(tmp_path, caches, PLANS) as here:
+        async with world_with_caches(tmp_path, caches, SECOND_RELAY_FILE) as front_world:
 
-            async def client(first: int, share: int) -> None:
-                caller: Caller = await here.call()
-                open_: dict[int, tuple[float, str]] = {}
-                room = anyio.Semaphore(AT_ONCE)
+            async def client(first: int, pull_count: int) -> None:
+                caller: Caller = await front_world.call()
+                open_pulls: dict[int, tuple[float, str]] = {}
+                slots = anyio.Semaphore(AT_ONCE)
 
                 async def read() -> None:
-                    for _ in range(share):
-                        got: Got = await caller.next()
-                        at, lane = open_.pop(got.stream)
-                        answers[got.code] = answers.get(got.code, 0) + 1
-                        if got.code == 1:
-                            took[lane].append((time.monotonic() - at, got.body.decode()))
-                        room.release()
+                    for _ in range(pull_count):
+                        answer: Got = await caller.next()
+                        sent_at, lane = open_pulls.pop(answer.stream)
+                        answers[answer.code] = answers.get(answer.code, 0) + 1
+                        if answer.code == 1:
+                            served[lane].append((time.monotonic() - sent_at, answer.body.decode()))
+                        slots.release()
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(read)
-                    for number in range(1, share + 1):
-                        await room.acquire()
+                    for number in range(1, pull_count + 1):
+                        await slots.acquire()
                         lane = "maps" if number % 2 else "grids"
-                        open_[number] = (time.monotonic(), lane)
+                        open_pulls[number] = (time.monotonic(), lane)
                         item = f"{(first + number) * 2654435761 % (1 << 64):016x}"
-                        txn = f"{first + number:016x}"
+                        transaction = f"{first + number:016x}"
                         await caller.send(
-                            order(number, verb=lane, txn=txn, limit="2500", item=item, ram="40")
+                            order(number, verb=lane, txn=transaction, limit="2500", item=item, ram="40")
                         )
 
             async with anyio.create_task_group() as tasks:
                 for number in range(4):
                     tasks.start_soon(client, number * 10_000, PULLS // 4)
-            counters = await here.stop()
+            counters = await front_world.stop()
         assert caches.two_out == []
     assert sum(answers.values()) == PULLS and answers[1] > 0.98 * PULLS
     assert counters["relay.given_up"] > 25  # second copies went
-    elsewhere = [told for at, told in took["maps"] if at >= 0.12 and told != "maps-0"]
-    waited = [told for at, told in took["grids"] if at >= STALL]
-    stalled = [at for at, told in took["maps"] if told == "maps-0" and at >= STALL]
-    assert len(elsewhere) > 25 and len(waited) > 15
-    assert all(told == "grids-0" for told in waited)
-    assert len(stalled) < 0.2 * len(waited)
+    at_other_caches = [body for seconds, body in served["maps"] if seconds >= 0.12 and body != "maps-0"]
+    stalled_grids = [body for seconds, body in served["grids"] if seconds >= STALL]
+    stalled_maps = [seconds for seconds, body in served["maps"] if body == "maps-0" and seconds >= STALL]
+    assert len(at_other_caches) > 25 and len(stalled_grids) > 15
+    assert all(body == "grids-0" for body in stalled_grids)
+    assert len(stalled_maps) < 0.2 * len(stalled_grids)
 
 
-async def test_a_reading_that_a_newer_one_overtook_before_it_began_changes_nothing(
+async def test_a_reload_superseded_before_it_began_changes_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    taken: list[str] = []
+    applied: list[str] = []
     compiled = load(EXAMPLE, SAMPLE["settings"]).compiled
 
-    class Told:
-        def update_plans(self, new: CompiledConfig) -> None:
-            taken.append(new.digest)
+    class PlanRecorder:
+        def update_plans(self, config: CompiledConfig) -> None:
+            applied.append(config.digest)
 
     async def read(path: Path, _: dict[str, object]) -> CompiledConfig:
         await anyio.sleep(0)
         return replace(compiled, digest=path.name)
 
     monkeypatch.setattr("cometseam.operator.load.load_in_child_async", read)
-    reader = OperatorFileReloader(Told())  # type: ignore[arg-type]
+    reloader = OperatorFileReloader(PlanRecorder())  # type: ignore[arg-type]
     async with anyio.create_task_group() as tasks:
         for name in ("older", "newer"):  # two signals at once: neither reading has begun
-            tasks.start_soon(reader.reload, reader.start_reload(), Path(name), {})
-    assert taken == ["newer"]
+            tasks.start_soon(reloader.reload, reloader.start_reload(), Path(name), {})
+    assert applied == ["newer"]
