--- a/tests/test_front_plans.py
+++ b/tests/test_front_plans.py
@@ -1,4 +1,8 @@
-"""The real program with an operator's file, on loopback: reloads, second copies, waits, the JSON log."""
+"""Tests of the real program with an operator's file, on loopback: reloads, second relays, waits, JSON log.
+
+Guards against a bad file that stops a running front at reload, a reload that changes the plan of a waiting
+pull, and a second relay that is sent while the first one to a stalling cache is still in flight.
+"""
 
 import json
 import signal
@@ -31,7 +35,7 @@
 
 
 async def wait_for_refusals(front_world: World, previous_count: int) -> None:
-    """Wait until the log tells of more refusals than it had."""
+    """Wait until the log has more than `previous_count` rejections."""
     await front_world.news.until(
         lambda: front_world.output.count(b"; the one that runs stays") > previous_count
     )
@@ -50,10 +54,10 @@
                 refused_count = front_world.output.count(b"; the one that runs stays")
                 path.write_text(file.read_text())
                 front_world.process.send_signal(signal.SIGHUP)
-                # Each fault is a line: a reading that is given up for a newer file would log none.
+                # Each fault is logged on one line; a reload superseded by a newer file logs none.
                 lines = len(file.with_suffix(".reason").read_text().splitlines())
                 await wait_for_refusals(front_world, refused_count + lines - 1)
-                if number % 16 == 0:  # it serves as before
+                if number % 16 == 0:  # the front still serves
                     client = await front_world.call()
                     await client.send(order(number))
                     relay = await front_world.first()
@@ -78,13 +82,13 @@
         front_world.process.send_signal(signal.SIGHUP)
         await front_world.logged(b"taken over")
         assert time.monotonic() - started_at < 2.4, "the reload took longer than the wait"
-        relay = await front_world.first()  # by its old plan a further relay goes, after its wait
+        relay = await front_world.first()  # its old plan sends a further relay after the wait
         assert time.monotonic() - started_at >= 2.38
         await relay.answer("DONE", ANSWER_FIELDS, b"late")
         assert (await client.next()).body == b"late"
         await client.send(order(2))
         await (await front_world.first()).answer("BROKE")
-        assert (await client.next()).code == 2  # by the new plan none goes
+        assert (await client.next()).code == 2  # the new plan sends no further relay
         await front_world.stop()
 
 
@@ -115,12 +119,14 @@
 SECOND_RELAY_FILE = """{ version: 1, largest: { maps: '300KB', grids: '300KB' },
   workloads: { maps: { relays: 3, until: 'cut-off', second: { after: '120ms' } },
     grids: { time_outs: { look: '900ms' } } } }"""
-STALL, PULLS, AT_ONCE = 0.45, 2000, 24
+STALL_S = 0.45
+PULL_COUNT = 2000
+MAX_OPEN_PULLS = 24
 
 
 @asynccontextmanager
 async def world_with_caches(folder: Path, caches: Caches, plans: str) -> AsyncIterator[World]:
-    """The program with a list of stand-ins that run in a thread of their own."""
+    """Run the program with simulated caches that run on a thread of their own."""
     path = folder / "operator.jsonnet"
     path.write_text(plans)
     named_addresses = []
@@ -134,13 +140,16 @@
 
 
 async def test_with_a_stalling_cache_second_relays_never_leave_two_in_flight(tmp_path: Path) -> None:
-    """The judge is the stand-ins' own record. Maps go on elsewhere in their short time, grids wait."""
+    """The simulated caches record relays of one pull that are in flight together.
+
+    Maps continue at another cache after their short time-out, grids wait for the stalling one.
+    """
 
     def behave(cache: int, id: str, fields: dict[str, str], asked: int) -> Answer:
-        # Every fourth answer of the first cache stalls: now past the give-up, now just about at it.
+        # Every fourth answer of the first cache stalls, by turns beyond and at the time of the second relay.
         delay = 0.001
         if cache == 0 and asked % 4 == 0:
-            delay = STALL if asked % 8 else 0.12
+            delay = STALL_S if asked % 8 else 0.12
         return delay, "DONE", ANSWER_FIELDS, f"{fields['lane']}-{cache}".encode()
 
     served: dict[str, list[tuple[float, str]]] = {"maps": [], "grids": []}
@@ -151,7 +160,7 @@
             async def client(first: int, pull_count: int) -> None:
                 caller: Caller = await front_world.call()
                 open_pulls: dict[int, tuple[float, str]] = {}
-                slots = anyio.Semaphore(AT_ONCE)
+                slots = anyio.Semaphore(MAX_OPEN_PULLS)
 
                 async def read() -> None:
                     for _ in range(pull_count):
@@ -176,14 +185,14 @@
 
             async with anyio.create_task_group() as tasks:
                 for number in range(4):
-                    tasks.start_soon(client, number * 10_000, PULLS // 4)
+                    tasks.start_soon(client, number * 10_000, PULL_COUNT // 4)
             counters = await front_world.stop()
         assert caches.two_out == []
-    assert sum(answers.values()) == PULLS and answers[1] > 0.98 * PULLS
-    assert counters["relay.given_up"] > 25  # second copies went
+    assert sum(answers.values()) == PULL_COUNT and answers[1] > 0.98 * PULL_COUNT
+    assert counters["relay.given_up"] > 25  # second relays were sent
     at_other_caches = [body for seconds, body in served["maps"] if seconds >= 0.12 and body != "maps-0"]
-    stalled_grids = [body for seconds, body in served["grids"] if seconds >= STALL]
-    stalled_maps = [seconds for seconds, body in served["maps"] if body == "maps-0" and seconds >= STALL]
+    stalled_grids = [body for seconds, body in served["grids"] if seconds >= STALL_S]
+    stalled_maps = [seconds for seconds, body in served["maps"] if body == "maps-0" and seconds >= STALL_S]
     assert len(at_other_caches) > 25 and len(stalled_grids) > 15
     assert all(body == "grids-0" for body in stalled_grids)
     assert len(stalled_maps) < 0.2 * len(stalled_grids)
@@ -206,6 +215,6 @@
     monkeypatch.setattr("cometseam.operator.load.load_in_child_async", read)
     reloader = OperatorFileReloader(PlanRecorder())  # type: ignore[arg-type]
     async with anyio.create_task_group() as tasks:
-        for name in ("older", "newer"):  # two signals at once: neither reading has begun
+        for name in ("older", "newer"):  # two signals at once: neither reload has begun
             tasks.start_soon(reloader.reload, reloader.start_reload(), Path(name), {})
     assert applied == ["newer"]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,9 @@
-"""The operator's file: what is refused and why, its bounds, what it comes to, and its commands."""
+"""Tests of the operator's file: rejected files and their reasons, limits, compiled result and commands.
+
+Guards against a faulty or hostile file that stops or hangs a front: a file that loops, uses up memory, reads
+outside its folder or changes while it is read is rejected with a reason. Each file of tests/bad has its
+expected reason in the .reason file beside it; KEEP_TRACES in the environment rewrites these.
+"""
 
 import json
 import os
@@ -29,7 +34,7 @@
 
 
 def settings_for(name: str) -> dict[str, Any]:
-    """The settings that a bad file names in its first line."""
+    """Return the settings that a bad file names in its first line."""
     settings: dict[str, Any] = deepcopy(SAMPLE["settings"])
     maps = settings["grades"][1]
     match name:
@@ -91,10 +96,10 @@
 def test_a_child_whose_file_loops_is_killed_within_two_seconds(tmp_path: Path) -> None:
     path = tmp_path / "loop.jsonnet"
     path.write_text("local f(n) = f(n + 1) tailstrict; f(0)")
-    load_in_child(EXAMPLE, SAMPLE["settings"])  # what is read from disk for the first time takes its own time
+    load_in_child(EXAMPLE, SAMPLE["settings"])  # warms the disk cache, which would add to the time measured
     started_at = time.monotonic()
     assert "too long" in fault_text(path, SAMPLE["settings"])
-    assert time.monotonic() - started_at < 2.0 + 1.0  # a machine that runs other tests beside this one
+    assert time.monotonic() - started_at < 2.0 + 1.0  # 1 s more, as other tests may run on the machine
 
 
 def test_a_file_replaced_while_it_is_read_is_rejected(
@@ -290,7 +295,7 @@
 def test_an_unknown_command_exits_with_status_2_and_shell_completion_works() -> None:
     command = [sys.executable, "-m", "cometseam"]
     assert subprocess.run([*command, "sevre"], capture_output=True).returncode == 2
-    # The shell is found among the parents: bash stays one here, however the tests themselves were started.
+    # The shell is detected among the parent processes: bash stays one of them, however the tests are started.
     command_line = " ".join(shlex.quote(argument) for argument in [*command, "--show-completion"])
     script = subprocess.run(["bash", "-c", f"{command_line}; exit $?"], capture_output=True, text=True)
     assert script.returncode == 0 and "complete" in script.stdout
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,9 @@
-"""The module under plans: by hand, and property tests against scripted caches in virtual time."""
+"""Tests of the decision logic with plans: single cases, and a property test with scripted caches.
+
+Guards against plans that pass validation but break a rule of the service, such as relays beyond the retry
+budget, a second relay beside the first or an answer after the deadline. The property test runs random plans
+against caches that fail at random, in virtual time.
+"""
 
 import json
 from collections.abc import Callable
@@ -23,7 +28,7 @@
 
 
 def start_pull(drive: Drive, number: int, plan: int = 0, object_number: int = 5, workload: int = 0) -> None:
-    """A client asks, by a plan."""
+    """Send a pull with the plan of that number."""
     pull = i.Pull(number, object_number, 0, workload, 2000.0, False, 500.0, 3, plan)
     drive.tell(pull, 10.0)
 
@@ -47,11 +52,11 @@
     assert drive.last[1].timeout == 400.0
     start_pull(drive, 2, object_number=6)
     drive.end(2, i.Outcome.RESET, i.Remark.NONE)
-    assert drive.last[2].timeout == 160.0  # a look again, after a failure
-    start_pull(drive, 4, workload=3)  # it can't be cached
+    assert drive.last[2].timeout == 160.0  # a cache lookup again, after a failure
+    start_pull(drive, 4, workload=3)  # this workload is not cacheable
     assert drive.last[4].timeout == 300.0
     drive.pull(3, wanted=7)
-    assert drive.last[3].timeout == 600.0  # without a plan: four times its own time, and 200 ms
+    assert drive.last[3].timeout == 600.0  # without a plan: four times its sending time and 200 ms
 
 
 def test_failed_relays_count_towards_the_limit_and_lookup_misses_do_not() -> None:
@@ -76,7 +81,7 @@
 
 
 def record_timers(drive: Drive) -> list[tuple[int, float]]:
-    """Catch the timers that the module asks for from now on."""
+    """Return a list that receives the id and due time (ms) of every timer started from now on."""
     timers: list[tuple[int, float]] = []
     handle = drive.front.handle
 
@@ -157,7 +162,7 @@
     assert "pull 1: recall" in drive.trace[-1] and drive.relays[1] == 0
     drive.end(1, i.Outcome.CANCELLED, i.Remark.NONE, after=1.0)
     assert drive.relays[1] == 1 and drive.last[1].cache != first.cache
-    drive.tell(i.TimerFired(timers[0][0]), 1.0)  # the first relay's timer says nothing of the second
+    drive.tell(i.TimerFired(timers[0][0]), 1.0)  # the first relay's timer does not apply to the second
     assert "recall" not in drive.trace[-1]
 
 
@@ -167,13 +172,13 @@
     timers = record_timers(drive)
     start_pull(drive, 1)
     drive.tell(i.TimerFired(timers[0][0]), 120.0)
-    drive.end(1)  # it was answered before the give-up took effect
+    drive.end(1)  # answered before the recall took effect
     assert not drive.front.pending and drive.front.active_plans.budgets[terms].further_relays == 0
     start_pull(drive, 2)
     drive.tell(i.TimerFired(timers[1][0]), 120.0)
     drive.end(2, i.Outcome.CANCELLED, i.Remark.NONE, after=1.0)
     late_answer = i.RelayEnded(2, 0, 11, i.Outcome.OK, i.Remark.HIT, 130.0, 0.0, False, ())
-    drive.tell(late_answer)  # the first one's answer, late
+    drive.tell(late_answer)  # the late answer of the first relay
     assert 2 in drive.front.pending and drive.front.active_plans.budgets[terms].further_relays == 1
     drive.end(2)
     assert not drive.front.pending
@@ -315,7 +320,10 @@
 
 
 def errors_between(start: float, end: float) -> Callable[[float, i.Relay, i.Pull, Random], Said]:
-    """Caches that answer every relay with an error between two times; errors earn credit as answers do."""
+    """Return the behaviour of caches that answer every relay with an error between two times (ms).
+
+    Errors earn retry tokens as answers do.
+    """
 
     def behave(now: float, relay: i.Relay, pull: i.Pull, random: Random) -> Said:
         if start <= now < end:
@@ -326,7 +334,7 @@
 
 
 def run_outage(plans: i.Plans, seed: int = 3) -> World:
-    """All caches down for 10 s under 100 pulls a second."""
+    """Run 100 pulls a second while all caches fail for 10 s."""
     world = World(SETTINGS, tuple(line(cache) for cache in SERVERS), errors_between(5000.0, 15000.0), seed)
     world.tell(plans)
     random = Random(seed)
@@ -342,13 +350,13 @@
     terms = i.RetryBudgetTerms("front", 0.1, 5000.0, 5.0)
     world = run_outage(i.Plans((i.Plan("a"),), (), terms))
     assert world.judge() == []
-    assert world.further < 0.5 * run_outage(i.Plans((i.Plan("a"),))).further  # without a budget many more go
-    # what was let through holds when it goes
+    assert world.further < 0.5 * run_outage(i.Plans((i.Plan("a"),))).further  # many more without a budget
+    # The budget must hold at the time of each further relay.
     for window_end in [sent_at for sent_at, further in world.sent_at if further]:
         further_in_window = sum(
             further for sent_at, further in world.sent_at if window_end - 5000.0 < sent_at <= window_end
         )
-        # First ones count for up to a slice longer than the window.
+        # First relays count for up to one slice longer than the window.
         first_in_window = sum(
             not further for sent_at, further in world.sent_at if window_end - 5250.0 < sent_at <= window_end
         )
