--- a/cometseam/cli/show.py
+++ b/cometseam/cli/show.py
@@ -92,9 +92,9 @@
     """Return the matching route, why earlier ones did not match, the budgets and the worst-case steps."""
     compiler: Compiler = loaded.compiler
     table, names = loaded.compiled.table, compiler.platform.names.workloads
-    found = table.find(route_key)
+    entry_index = table.find(route_key)
     passed_over: list[dict[str, str]] = []
-    earlier_entries = compiler.entries[: found if found >= 0 else None]
+    earlier_entries = compiler.entries[: entry_index if entry_index >= 0 else None]
     for entry in earlier_entries:
         reason = next(
             f"{AXES[axis]} is not in {_format_axis(axis, intervals, names)}"
@@ -104,8 +104,8 @@
         passed_over.append({"route": entry.name, "why": reason})
     steps: list[dict[str, Any]] = []
     budgets: dict[str, str] = {}
-    if found >= 0:
-        plan = compiler.entries[found].plan
+    if entry_index >= 0:
+        plan = compiler.entries[entry_index].plan
         steps = worst_case_steps(plan, compiler, route_key.workload, kb)
         plans = loaded.compiled.plans
         network = table.find_network(route_key.address)
@@ -114,7 +114,7 @@
             if terms is not None:
                 budgets[terms.name] = _format_budget(terms)
     return {
-        "route": compiler.entries[found].name if found >= 0 else None,
+        "route": compiler.entries[entry_index].name if entry_index >= 0 else None,
         "passed_over": passed_over,
         "budgets": budgets,
         "steps": steps,
--- a/cometseam/operator/compile.py
+++ b/cometseam/operator/compile.py
@@ -106,16 +106,16 @@
     # Routes
 
     def _add_routes(self) -> None:
-        seen: dict[str, int] = {}
+        index_by_name: dict[str, int] = {}
         boxes: list[Box] = []
         route_indices: list[int] = []
         for route_index, route in enumerate(self.file.routes):
-            if route.name in seen:
-                first = seen[route.name]
+            if route.name in index_by_name:
+                first = index_by_name[route.name]
                 self._report_fault(
                     ("routes", route_index, "name"), f"{route.name!r} is the name of routes[{first}] too"
                 )
-            seen.setdefault(route.name, route_index)
+            index_by_name.setdefault(route.name, route_index)
             box = self._match_box(route_index, route.match)
             if box is None:
                 continue
@@ -161,13 +161,15 @@
         count = len(self._workload_numbers)
         box[0] = ((0, count),) if count else ()
         if match.workload is not None:
-            found = []
+            workload_intervals = []
             for index, name in enumerate(match.workload):
                 if name in self._workload_numbers:
-                    found.append((self._workload_numbers[name], self._workload_numbers[name] + 1))
+                    workload_intervals.append(
+                        (self._workload_numbers[name], self._workload_numbers[name] + 1)
+                    )
                 else:
                     self._report_fault((*path, "workload", index), self._unknown_workload(name))
-            box[0] = union(found)
+            box[0] = union(workload_intervals)
         if match.objects is not None:
             box[1] = union([_object_range(form.prefix, form.from_, form.to) for form in match.objects])
         for axis, ranges in ((2, match.groups), (3, match.parts)):
