--- a/cometseam/interface.py
+++ b/cometseam/interface.py
@@ -108,9 +108,9 @@
     `hub_of` and `fronts_by_zone` give each zone's hub and number of fronts; `fronts` counts all fronts.
     `link_load_index` is the index of the zone's link in reported loads. `relay_limit` bounds the relays of
     a pull. `stream_rate` is in KB per ms; 0: unknown. A server in slow start can take its initial share of
-    its weight, which rises to all of it in the slow-start duration, times the overload factor within
-    `overload_window`; the fields with `parent_` are for parents. A purge may take up to `purge_propagation`
-    to reach all servers.
+    its weight, which rises to all of it over the slow-start duration; its load within `overload_window` may
+    be the overload factor times that. The fields with `parent_` are for parents. A purge may take up to
+    `purge_propagation` to reach all servers.
     """
 
     workloads: tuple[Workload, ...]
@@ -235,7 +235,7 @@
 class Pull:
     """A client requests one part of an object; the front must give one final answer.
 
-    `time_left` (ms) ends at the client's deadline.
+    `time_left` (ms) ends at the client's deadline. `group` is the object's group, by which it can be purged.
     """
 
     id: int
--- a/cometseam/levels/machine.py
+++ b/cometseam/levels/machine.py
@@ -1,8 +1,8 @@
 """The state machine of service levels: one change at a time, at least ten seconds apart.
 
 A front rises to the highest level whose enter condition holds. It descends one level at a time, once the
-condition to leave holds and the level's minimum stay is over; what only the upper level shed then comes back
-over that level's ramp. A front that returns to a level soon after it left it must stay longer each time
+condition to leave holds and the level's minimum stay is over; what only the upper level shed is then admitted
+again over that level's ramp. A front that returns to a level soon after it left it must stay longer each time
 (hold-down), which decays in calm.
 
     state     event                                              next state            result
@@ -23,9 +23,8 @@
 from cometseam.levels.conditions import ConditionTracker, TruthValue
 from cometseam.levels.policy import MIN_STAY_MS, LevelActions, LevelPolicy, ShedShare, is_at_least_as_strict
 
-MAX_STEP_MS = (
-    1000.0  # elapsed time that one step counts for: after a clock jump the signals were not observed
-)
+# The longest elapsed time that one step counts: across a clock jump the signals were not observed.
+MAX_STEP_MS = 1000.0
 MAX_HOLD_DOWN_FACTOR = 8.0
 
 
--- a/cometseam/levels/shedding.py
+++ b/cometseam/levels/shedding.py
@@ -1,4 +1,6 @@
-"""Decides what the present level leaves out of a pull, before the decision module sends anything. No I/O.
+"""Decides which pulls, fills and further relays the present service level does not allow. No I/O.
+
+The decision module asks it before it starts any of these.
 
 Whether a pull is shed depends on its object, so that the same objects are admitted from second to second and
 a client's retry gets the same result; an object whose parts are being read is admitted to its end. Large
@@ -13,7 +15,7 @@
 from cometseam.interface import Pull, ServiceLevel
 
 RECENT_PULLS = 512  # pulls of a workload that the cutoff is taken from
-RECUT_INTERVAL = 32  # pulls between two updates of the cutoff
+RECUT_INTERVAL = 32  # pulls between two updates of the cutoff, and the fewest that it is taken from
 SIZE_WEIGHT = 0.6  # share of a shed key that depends on the size; the rest depends on the object's hash
 MAX_READ_OBJECTS = 4096  # objects that are remembered as being read
 MAX_NETWORKS = 512  # networks that are remembered
@@ -45,8 +47,8 @@
         """Record a pull and return its key: pulls with low keys, such as large ones, are shed first."""
         self._sizes.append(size)
         count = len(self._sorted_sizes)
-        rank = 1.0 - bisect_left(self._sorted_sizes, size) / count if count >= RECUT_INTERVAL else 0.5
-        key = SIZE_WEIGHT * rank + (1.0 - SIZE_WEIGHT) * object_hash(object_number)
+        larger_share = 1.0 - bisect_left(self._sorted_sizes, size) / count if count >= RECUT_INTERVAL else 0.5
+        key = SIZE_WEIGHT * larger_share + (1.0 - SIZE_WEIGHT) * object_hash(object_number)
         self._keys.append(key)
         self._until_recut -= 1
         if self._until_recut < 0:
@@ -82,7 +84,7 @@
         self.skipped_counts: Counter[str] = Counter()
 
     def apply_service_level(self, level: ServiceLevel) -> None:
-        """Apply what a level leaves out from now on."""
+        """Apply what a level does not allow from now on."""
         if not any(level.shed_shares) and not level.plan_shed_shares:  # nothing is shed: clears the tables
             self._cutoffs.clear()
             self._networks.clear()
@@ -158,7 +160,10 @@
         return self.service_level.allow_further_relays
 
     def retry_after(self, default: float) -> float:
-        """Return the time (ms) after which a shed pull may be retried: under a level longer and spread."""
+        """Return the time (ms) after which a shed pull may be retried.
+
+        A level that sets a minimum raises it to that and adds a random share, to spread the retries.
+        """
         if self.service_level.min_retry_after is None:
             return default
         return max(self.service_level.min_retry_after, default) * (
--- a/cometseam/levels/signals.py
+++ b/cometseam/levels/signals.py
@@ -111,7 +111,10 @@
         self._histograms[self._current].record_value(min(max(int(100.0 * value), 1), MAX_PRESSURE_PERCENT))
 
     def read(self, now: float, percentile: float) -> tuple[int, float]:
-        """Return the number of samples and the percentile: the larger of the windows with enough samples."""
+        """Return the number of samples in both windows, and the percentile.
+
+        The percentile is the larger of those of the windows with enough samples, and 0 if neither has enough.
+        """
         self._rotate(now)
         counts = [each.get_total_count() for each in self._histograms]
         values = [
--- a/cometseam/logic.py
+++ b/cometseam/logic.py
@@ -55,7 +55,7 @@
 MAX_REQUEST_GAPS = 6
 # Shorter gaps count as this long: retries of one client do not make a part popular.
 MIN_REQUEST_GAP_MS = 250.0
-# The values of recent pulls are cut into thirds, one for each rank; pulls between two cuts.
+# The values of recent pulls are divided into thirds, one for each rank; pulls between two updates of these.
 MAX_RECENT_VALUES = 600
 VALUES_BETWEEN_CUTS = 50
 # A further relay costs a retry token of the server asked. Tokens: at its start (and at most after a failure),
@@ -86,12 +86,13 @@
 SLOWDOWN_DECAY_MS = 3000.0
 # Safety margin, as a share of the slowdown above 1, that is added where very many fronts share a zone.
 MANY_FRONTS_MARGIN = 0.6
-# A limit counts as idle while this share of it is in flight and its slowdown is above 1 by no more than this;
-# there a pull may miss its target latency.
+# A limit counts as idle while one more relay fits in this share of it and its slowdown, with the event loop
+# lag over TRANSFER_ALLOWANCE_MS added, exceeds 1 by at most this; a pull may miss its target latency there.
 IDLE_SHARE = 0.5
 # Share of kept copies found gone up to which a cache has spare room.
 SPARE_EVICTION_RATE = 0.1
-# Multiple of the usual wait for the origin from which the origin is asked for too much.
+# The origin counts as overloaded when a wait for it exceeds this multiple of the usual one, plus
+# TRANSFER_ALLOWANCE_MS.
 ORIGIN_STRAIN_FACTOR = 3.0
 # A transfer may exceed its expected time by this before its link counts as slower than expected.
 TRANSFER_ALLOWANCE_MS = 100.0
@@ -245,7 +246,7 @@
 
 
 class Candidate(NamedTuple):
-    """A candidate route: the cache to ask, the source of a fill (or the cache itself: a lookup), terms."""
+    """A candidate route: the cache to ask, the source of a fill (for a lookup the cache itself), options."""
 
     target: Server
     source: Server
@@ -657,7 +658,7 @@
     def _can_be_in_time(self, pending: PendingPull, limit: ConcurrencyLimit) -> bool:
         """Return whether a relay behind this limit is expected to meet its target latency.
 
-        The expected time is the sending time, stretched by the expected slowdown; it must fit in
+        The expected time is the sending time, multiplied by the expected slowdown; it must fit in
         ADMISSION_SHARE of the time left. Where the limit is idle, the deadline replaces the target latency.
         """
         # Gain is earned per pull but capacity is used per byte, so a pull above the mean size tolerates less
@@ -730,7 +731,8 @@
             not server.consecutive_failures or not server.limit.in_flight
         )
 
-    # Sending and answering: every relay and every final answer passes here, and every rule is enforced here.
+    # Sending and answering: all relays are sent here, and all final answers are given here except errors for
+    # pulls that cannot be started. The rules on when and where a relay may be sent are enforced here.
     def _send(self, pending: PendingPull, candidate: Candidate, rank: int) -> bool:
         """Send one relay of a pull to the candidate if every rule allows it; return whether it was sent."""
         settings, pull, target, source = self.settings, pending.pull, *candidate[:2]
@@ -744,7 +746,7 @@
             or pending.relay_count >= settings.relay_limit
         ):
             return False
-        # A pull takes effect only once.
+        # A pull that may have run is repeated only where it cannot take effect twice.
         if pending.may_have_run and not self._may_repeat_at(pending, target):
             return False
         # Retries must not multiply an outage: where a plan sets budgets, a further relay needs room in each
@@ -758,7 +760,7 @@
         # The fleet caps the relays in flight at one server; this front keeps to its share.
         if any(self._exceeds_cap(server) for server in {target: 0, source: 0}):
             return False
-        # A server in slow start is not overloaded.
+        # A server in slow start gets no more than this front's share of its budget.
         mean_time = self.mean_sending_times[pull.workload]
         # A cache counts each request at its workload's mean, a parent at its size.
         work = pending.sending_time or mean_time
@@ -884,7 +886,7 @@
         """Return whether a pull that may have run may also be sent to this server.
 
         An idempotent pull may go anywhere, one with an idempotency key only where and while its repeats are
-        dropped.
+        dropped, and a non-idempotent one nowhere.
         """
         assert pending.may_have_run is not None
         (sent_at, first_entry, _), workload = pending.may_have_run, pending.workload
@@ -945,7 +947,7 @@
         """Give the final answer: shed where a client's retry is harmless, else an error."""
         pending.unanswered, workload, settings = False, pending.workload, self.settings
         self._record_answered_share(pending, False)
-        # All caches recognise a repeat and drop it.
+        # Whether every cache would drop a repeat, so that a client's retry cannot take effect twice.
         repeats_dropped = (
             workload.idempotency is Idempotency.TAGGED and workload.dedup_scope is DedupScope.ALL
         )
@@ -1029,8 +1031,8 @@
             # source.
             waited = FILL_ALLOWANCE_MS
         if outcome is Outcome.FULL and pending.is_fill and remark is Remark.NONE:
-            # The answer does not say who rejected the fill: assume its source, which a failed parent looks
-            # like; at a second rejection, assume the origin behind the sources.
+            # The answer does not say who rejected the fill: assume its source, because a failed parent causes
+            # the same answer; at a second rejection, assume the origin behind the sources.
             remark = Remark.ORIGIN_FAILED if pending.fill_rejected else Remark.SOURCE_BROKE
             pending.fill_rejected = True
         if outcome is Outcome.OK and remark is Remark.NONE:
@@ -1201,8 +1203,8 @@
                 self._record_success(source)
             if server_error:
                 pending.rejected_by.append(target)
-                # A cache that returns errors while others do not is faulty and quick about it: every pull
-                # hashed to it would fail.
+                # A cache that returns errors while others do not is faulty. It answers quickly, so its limit
+                # does not stop pulls, and every pull hashed to it would fail.
                 if (
                     target.error_rate
                     > ERROR_RATE_THRESHOLD
--- a/cometseam/settings.py
+++ b/cometseam/settings.py
@@ -13,7 +13,7 @@
     "deduplicated": Idempotency.TAGGED,
     "at_most_once": Idempotency.ONCE_ONLY,
 }
-DEDUP_SCOPES = {str(group): group for group in DedupScope}
+DEDUP_SCOPES = {str(scope): scope for scope in DedupScope}
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     max_streams: int
     connect_timeout: float
     idle_timeout: float
-    max_deadline: float  # the longest of all workloads: an operation stuck for longer is useless to everyone
+    max_deadline: float  # the longest of all workloads: no pull waits longer for an operation
     answer_grace: float  # time after a pull's deadline in which its answer still counts
     # Time after notice of an endpoint's drain in which requests may still be sent to it.
     drain_grace: float = 500.0
--- a/cometseam/timing/retry_policy.py
+++ b/cometseam/timing/retry_policy.py
@@ -36,7 +36,7 @@
     default_timeout: float,
     time_left: float,
 ) -> tuple[float, float]:
-    """Return a relay's timeout, `time_left` at most, and the delay after which a second copy may be sent.
+    """Return a relay's timeout, `time_left` at most, and the delay after which it may be hedged.
 
     `default_timeout` applies where the plan sets no timeout.
     """
@@ -50,7 +50,7 @@
 
 
 def hedge_delay(plan: Plan, sending_time: float) -> float:
-    """Return the delay after which a relay in flight may be given up for a second copy; infinite: never."""
+    """Return the delay after which a relay in flight may be recalled for a hedge; infinite: never."""
     return inf if plan.second is None else scaled_duration(plan.second, sending_time)
 
 
--- a/cometseam/timing/validate.py
+++ b/cometseam/timing/validate.py
@@ -1,4 +1,4 @@
-"""Validates a plan against the rules and the platform's settings before it is loaded. No I/O.
+"""Validates a plan against its workload's terms and the platform's settings before it is loaded. No I/O.
 
 Each plan is checked for one workload, and for the smallest and the largest pull that its route can match: all
 times are linear in the sending time, so what holds for both holds for every size between them. What cannot be
@@ -43,7 +43,7 @@
     max_sending_time: float  # to send the largest pull
     connect_timeout: float  # for opening a connection
     until_deadline: bool = False  # its relays must end by the deadline, not by the target latency
-    hedges_any_scope: bool = False  # its second copies may leave the group of caches that drops repeats
+    hedges_any_scope: bool = False  # its hedges may go to caches outside `rules.dedup_scope`
 
     @property
     def sending_times(self) -> tuple[tuple[float, str], ...]:
@@ -54,14 +54,14 @@
 
 def validate_plan(plan: Plan, context: PlanContext, settings: Settings) -> Iterator[PlanFault]:
     """Yield each setting of the plan that would break a rule or could never take effect."""
-    yield from _check_counts(plan, settings)
+    yield from _check_relays_and_retry_after(plan, settings)
     yield from _check_hedge(plan, context, settings)
     yield from _check_idempotency(plan, context)
-    yield from _check_sending_times(plan, context)
+    yield from _check_timeouts(plan, context)
     yield from _check_total_time(plan, context)
 
 
-def _check_counts(plan: Plan, settings: Settings) -> Iterator[PlanFault]:
+def _check_relays_and_retry_after(plan: Plan, settings: Settings) -> Iterator[PlanFault]:
     if plan.relays is not None and plan.relays > settings.relay_limit:
         yield "relays", f"{plan.relays} relays, but the settings allow {settings.relay_limit} of a pull"
     if plan.relays == 1:
@@ -125,15 +125,15 @@
     if rules.idempotency is Idempotency.REPEATABLE:
         return
     retried = plan.worth if plan.worth is not None else frozenset(OUTCOMES_BY_NAME.values())
-    risky = [OUTCOME_NAMES[outcome] for outcome in MAY_HAVE_RUN if outcome in retried]
+    may_have_run = [OUTCOME_NAMES[outcome] for outcome in MAY_HAVE_RUN if outcome in retried]
     if rules.idempotency is Idempotency.ONCE_ONLY:
         if plan.second is not None:
             yield "second", f"{name} is once-only: a relay that is given up may have run"
-        if (plan.relays or 1) > 1 and risky:
+        if (plan.relays or 1) > 1 and may_have_run:
             yield (
                 "relays" if plan.worth is None else "retry_on",
                 (
-                    f"{name} is once-only, but a further relay would go after {', '.join(risky)}: "
+                    f"{name} is once-only, but a further relay would go after {', '.join(may_have_run)}: "
                     "after these the first may have run"
                 ),
             )
@@ -146,7 +146,7 @@
                 "a second copy may not go anywhere"
             ),
         )
-    if (plan.relays or 1) > 1 and risky:
+    if (plan.relays or 1) > 1 and may_have_run:
         for sending_time, _ in context.sending_times:
             steps, total = longest_sequence(plan, sending_time, last=False)
             if steps and total >= rules.dedup_window:
@@ -161,7 +161,7 @@
                 return
 
 
-def _check_sending_times(plan: Plan, context: PlanContext) -> Iterator[PlanFault]:
+def _check_timeouts(plan: Plan, context: PlanContext) -> Iterator[PlanFault]:
     for kind in RelayKind:
         for position, name in enumerate(("first", "further")):
             duration = plan.time_outs[kind][position]
