--- a/cometseam/coordination/election.py
+++ b/cometseam/coordination/election.py
@@ -6,8 +6,9 @@
 this front's lease, otherwise read who owns it. The fencing token is the revision at which the key was
 created; a later owner's key is created later, so its token is higher.
 
-Cancellation: leaving the task group of `run`. A request that takes longer than twice the terms' round trip
-exceeds its gRPC deadline and counts as not answered (it guards against a link that hangs rather than fails).
+Cancelling `run` ends the campaign or the renewals and revokes the lease. A request that takes longer than
+twice the terms' round trip exceeds its gRPC deadline and counts as not answered (it guards against a link
+that hangs rather than fails).
 """
 
 import time
@@ -63,7 +64,7 @@
     """Await one request; return `UNANSWERED` where it failed or passed the client's deadline.
 
     The deadline is the gRPC call's own (the client's `timeout`, see `connect`), not a cancel scope around the
-    call: cancelling a grpc.aio call from outside ended the whole task group that contained it (the agent
+    call: cancelling a grpc.aio call from outside ended the whole task group that contained it (`agent.py`
     exited at the first freeze of the service).
     """
     try:
@@ -110,7 +111,8 @@
         return await call_or_unanswered(call)
 
     def _send_stamp(self) -> tuple[float, int | None]:
-        """Return the send time of a request, and the clock regressions by then; None: the task is lost."""
+        """Update the state for the time; return the time, as that at which a request is sent, and the clock
+        regressions by then, or None where the task is lost."""
         now = self.clock()
         self.ownership.tick(now)
         return now, None if self.ownership.state is State.LOST else self.ownership.clock_regressions
@@ -159,7 +161,7 @@
                 replies[0].response_put.header.revision, sent_at, self.clock(), clock_regressions or 0
             )
         else:
-            # Kept for a campaign soon after, or until it expires: at most one per front.
+            # Kept for a campaign soon after, or until it expires: at most one per `TaskHolder`.
             self.unused_lease = lease_grant
 
     async def renew(self) -> None:
--- a/cometseam/coordination/fleet_member.py
+++ b/cometseam/coordination/fleet_member.py
@@ -31,14 +31,14 @@
 __all__ = ["FleetMember", "boot_time", "decode_verdict", "encode_verdict"]
 
 PROBE_TASK = "probe"  # probes the caches
-LIST_TASK = "list"  # reads the change log for all fronts
+LIST_TASK = "list"  # reads the discovery event log for all fronts
 VERDICT_PREFIX = b"/cometseam/verdicts/"
 LOG_KEY = b"/cometseam/log"
 MAX_VERDICT_BYTES = 1024
 POLL_INTERVAL_S = 0.02  # between two checks for due work
 
 VerdictCallback = Callable[[VerdictUpdate], None]
-# The terms of all groups, the front's own groups, its demands, its shares.
+# The terms of all groups, the front's own groups, what reads its demands, what receives its shares.
 LimitSharingSetup = tuple[dict[str, SharingTerms], set[str], DemandReader, ShareCallback]
 
 
@@ -50,7 +50,7 @@
 
 
 def decode_verdict(value: bytes) -> tuple[int, int, bool, float] | None:
-    """Return token, number, bad and age of a verdict; None where it is invalid (another version, torn)."""
+    """Return token, number, bad and age of a verdict; None if it is invalid (another version, truncated)."""
     if len(value) > MAX_VERDICT_BYTES:
         return None
     try:
@@ -68,7 +68,8 @@
     """One front's part in the fleet.
 
     `addresses` returns the router's caches and their addresses; `on_verdict` is called with each verdict that
-    changes something; `log_client` is the front's client of the change log; `sharing` sets up shared limits.
+    changes something; `log_client` is the front's client of the discovery event log; `sharing` sets up shared
+    limits.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
         # The token that the tail belongs to, and the number of its polls that was last published.
         self._tail_token = self._published_polls = 0
         if self.log_client is not None:
-            self.log_client.is_passive, self.log_client.on_answer = self._pauses_polls, self._record_own_poll
+            self.log_client.is_passive, self.log_client.on_answer = self._polls_paused, self._record_own_poll
         self._was_prober = False  # at the last check
 
     async def run(self) -> None:
@@ -161,7 +162,7 @@
             COUNTERS.add("fleet.verdict.refused")
             self.prober.record_publish_failure(verdict, self.clock())
 
-    # One front reads the change log for all
+    # One front reads the discovery event log for all
 
     def _active_reader(self) -> TaskHolder | None:
         """Return this front's `TaskHolder` of the task `list`, or None where it may not act for it."""
@@ -169,7 +170,7 @@
         active = holder is not None and holder.lease is not None and holder.ownership.may_act(self.clock())
         return holder if active else None
 
-    def _pauses_polls(self) -> bool:
+    def _polls_paused(self) -> bool:
         return not self.log_poll_gate.should_poll(self._active_reader() is not None, self.clock())
 
     def _record_own_poll(self, answer: bytes) -> None:
@@ -179,7 +180,7 @@
         holder = self._active_reader()
         if holder is None:
             return
-        # This front became the reader again: polls are counted anew for each token.
+        # Under a new token this front has become the reader: polls are counted from 0 under each.
         if holder.ownership.token != self._tail_token:
             self.log_tail, self._tail_token, self._published_polls = LogTail(), holder.ownership.token, 0
         results = json.loads(answer)["results"]
--- a/cometseam/coordination/limit_sharing.py
+++ b/cometseam/coordination/limit_sharing.py
@@ -8,9 +8,9 @@
     /cometseam/grants/<group>/<process>    a grant, written by the coordinator, fenced, without a lease: a new
                                            coordinator must find the grants that may still be valid
 
-A process has a new name at each start (a restarted front is another process): its reports count from 1, and
-no grant from before its start applies to it. It reports only while some cache is cold or, where relays in
-flight are capped, while it uses some of that cap.
+A process has a new name at each start (a restarted front is another process): its reports are numbered
+from 1, and no grant from before its start applies to it. It reports only while some cache is cold or, where
+relays in flight are capped, while it uses some of that cap.
 """
 
 import json
@@ -58,7 +58,7 @@
         raise ValueError("the value is larger than MAX_VALUE_BYTES")
     fields = json.loads(value)
     if not isinstance(fields, list) or len(fields) != integer_count + map_count:
-        raise ValueError("a list with the expected number of fields was expected")
+        raise ValueError("the value is not a list with the expected number of fields")
     if not all(type(number) is int and number >= 0 for number in fields[:integer_count]):
         raise ValueError("integers of 0 or more were expected")
     for shares in fields[integer_count:]:
@@ -105,7 +105,7 @@
         self.grant_ttl = max(terms.grant_ttl for terms in groups.values())
         self._lease: Any = None
         self._lease_at = 0.0
-        # Share and its end by group and limit, as last passed to `on_share`.
+        # Share and its next change without a new grant, by group and limit, as last passed to `on_share`.
         self._notified: dict[tuple[str, str], tuple[float, float]] = {}
         self._coordinators: dict[str, Coordinator] = {}
 
@@ -126,7 +126,7 @@
 
     # The front's side
 
-    async def _keep_lease(self) -> bool:
+    async def _ensure_lease(self) -> bool:
         """Renew the lease of the reports, or get a new one; return whether there is one."""
         now = self.clock()
         if self._lease is not None and now - self._lease_at < 0.5 * self.grant_ttl:
@@ -146,13 +146,13 @@
         while True:
             await anyio.sleep(self.refresh / 1000.0)
             demands_by_group = self.read_demands()
-            for group, share in self.front_shares.items():
+            for group, shares in self.front_shares.items():
                 demands = demands_by_group.get(group, {})
-                if not demands and not share.limit_names():
+                if not demands and not shares.limit_names():
                     continue
-                if not await self._keep_lease():
+                if not await self._ensure_lease():
                     continue
-                report = share.make_report(demands, self.clock())
+                report = shares.make_report(demands, self.clock())
                 COUNTERS.add("fleet.limits.asks")
                 key = REPORT_PREFIX + f"{group}/{self.process}".encode()
                 await call_or_unanswered(self.client.put(key, encode_report(report), self._lease))
@@ -167,24 +167,24 @@
                 except (ValueError, RecursionError):
                     COUNTERS.add("fleet.limits.unusable")
                     continue
-                valid = self.front_shares[group].apply_grant(grant, self.clock())
-                COUNTERS.add("fleet.limits.taken" if valid else "fleet.limits.passed_over")
+                applied = self.front_shares[group].apply_grant(grant, self.clock())
+                COUNTERS.add("fleet.limits.taken" if applied else "fleet.limits.passed_over")
 
         return apply_grants
 
     def _notify_changes(self) -> None:
         """Call `on_share` for each share that has changed, with how long it stays without a new grant."""
         now = self.clock()
-        for group, share in self.front_shares.items():
-            for name in share.limit_names():
-                current, next_change_at = share.current_share(name, now), share.next_change_at(name, now)
+        for group, shares in self.front_shares.items():
+            for name in shares.limit_names():
+                current, next_change_at = shares.current_share(name, now), shares.next_change_at(name, now)
                 if self._notified.get((group, name)) != (current, next_change_at):
                     self._notified[group, name] = (current, next_change_at)
                     self.on_share(group, name, current, max(next_change_at - now, 0.0))
-            names = set(share.limit_names())
+            names = set(shares.limit_names())
             for key in [key for key in self._notified if key[0] == group and key[1] not in names]:
                 del self._notified[key]
-                self.on_share(*key, share.terms.floor, 0.0)  # as without a grant: an equal share
+                self.on_share(*key, shares.terms.floor, 0.0)  # as without a grant: an equal share
 
     # The coordinator's side
 
--- a/cometseam/limits/coordinator.py
+++ b/cometseam/limits/coordinator.py
@@ -53,14 +53,14 @@
 class IssuedGrant:
     """A grant that may be valid."""
 
-    order: tuple[int, int]
+    order: tuple[int, int]  # token and number: those of a newer grant are higher
     shares: dict[str, float]
     issued_at: float | None  # None where an earlier coordinator issued it
     # When the grant was issued that the answered report named as applied: the report was sent after that.
     report_sent_after: float | None
     expires_at: float  # when it has certainly expired
     counts_until: float  # when the requests sent under it count no more
-    # The same for the reduced period after it, of a front that applied this grant last.
+    # `counts_until` plus the reduced period, in which a front that applied this grant last may still use it.
     reduced_until: float
 
 
@@ -142,11 +142,11 @@
     def _supersede_earlier(self, front: str, now: float) -> None:
         """Mark the earlier processes of a front's name as ended.
 
-        A process is known as `name.number`, and the number grows with each start. A report of one shows that
-        those of its name before it have ended (two running processes can't share a name: they would listen at
-        one address), so what they may have used counts for one window and no longer. Otherwise the shares of
-        a restarted fleet would stay reserved for ended processes until their grants and reduced periods were
-        over.
+        A process is known as `name.number`, and the number (hexadecimal) grows with each start. A report of
+        one shows that those of its name before it have ended (two running processes can't share a name: they
+        would listen at one address), so what they may have used counts for one window and no longer.
+        Otherwise the shares of a restarted fleet would stay reserved for ended processes until their grants
+        and reduced periods were over.
         """
         name, _, start = front.rpartition(".")
         if not name:
@@ -186,7 +186,7 @@
 
         It falls back `front_grant_ttl` and `reduced_period` after it sent the report that its newest grant
         answers. Only its own clock knows when that was; but the report named a grant that the front had
-        applied before, so it was sent after that grant was issued. Where no such chain is known, the front
+        applied before, so it was sent after that grant was issued. Where no such grant is known, the front
         may be at the floor now.
         """
         terms = self.terms
--- a/cometseam/limits/terms.py
+++ b/cometseam/limits/terms.py
@@ -4,7 +4,7 @@
 
 
 class SharingTermsError(ValueError):
-    """Terms under which the stated bound would not hold: one line naming the term and the reason."""
+    """Terms under which `max_total_share` would not be a bound: one line naming the term and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/cometseam/ownership/machine.py
+++ b/cometseam/ownership/machine.py
@@ -1,12 +1,12 @@
-"""One task, one owner: the states of a front that takes part in an election, without I/O.
+"""The states of a front that takes part in the election of a task's owner. Without I/O.
 
 A front is a candidate until a transaction on the coordination service makes its key the task's key; it is
-then the owner, with a fencing token (the revision at which its key was written, which no later owner can have
-lower). It acts only while its lease is certainly valid by its own clock: from the moment it *sent* the
+then the owner, with a fencing token (the revision at which its key was written; a later owner has a higher
+one). It acts only while its lease is certainly valid by its own clock: from the moment it *sent* the
 request that granted or renewed the lease, less the clock drift in that time, less a margin. After that it is
 losing: it does nothing on the task's behalf, but the lease may still be renewed. When the service reports
-that the lease or the key is gone, or that another front owns the key, it has lost, and becomes a candidate
-again on the next campaign.
+that the lease or the key is gone, or that another front owns the key, or has not answered for one more lease
+time, it has lost, and becomes a candidate again on the next campaign.
 
 Times are float ms of one monotonic clock, passed in. Nothing here sleeps, sends or reads.
 """
@@ -21,7 +21,7 @@
     CANDIDATE = "candidate"  # owns nothing; may campaign
     OWNER = "owner"  # owns the key, and its lease is certainly valid: may act
     LOSING = "losing"  # owns the key as far as it knows, but its lease may have expired: must not act
-    LOST = "lost"  # the service reported that the lease or key is gone, or another owner
+    LOST = "lost"  # the lease or key is gone, another front is owner, or the task was given up
 
 
 class OwnershipTermsError(ValueError):
@@ -73,7 +73,7 @@
 
     @property
     def acting_window_ms(self) -> float:
-        """How long an owner may act after sending a grant or renewal: the lease less drift and margin."""
+        """How long an owner may act after requesting a grant or renewal: the lease less drift and margin."""
         return self.ttl_ms * (1.0 - self.drift) - self.margin_ms
 
 
@@ -102,7 +102,7 @@
         self.state = State.CANDIDATE
         self.token = 0
         self.sent_at = 0.0  # when the last request that granted or renewed the lease was sent
-        self.last_now = 0.0  # the latest time passed in
+        self.last_now = 0.0  # the time passed in last, also after a regression
         # Times that the clock was seen to go back: what was sent before a regression proves nothing.
         self.clock_regressions = 0
         self.changes: list[StateChange] = []  # since the last `pop_changes`
@@ -118,8 +118,8 @@
         return changes
 
     def _check_clock(self, now: float) -> None:
-        """Record the time, and stop acting if the clock went back (a process moved to another machine, a
-        suspended one, a faulty source).
+        """Record the time, and stop acting if the clock went back (the process was moved to another machine
+        or suspended, or the clock's source is faulty).
 
         By such a clock an expired lease would seem valid, so its validity is unproven: this front does not
         act until a renewal that it sends from now on is answered.
@@ -169,7 +169,7 @@
         """Update the state for the time: an owner whose lease may have expired by its own clock stops acting;
         one without an answer for one more lease time gives the task up.
 
-        The second guards against a link that carries requests but loses their answers: the keep-alives still
+        Giving up guards against a link that carries requests but loses their answers: the keep-alives still
         reach the service and renew the lease, so no other front can win the task, while this one never
         receives the proof that it may act. Once it gives up, it stops renewing, and the lease expires one TTL
         after the last keep-alive arrived. So a task is without an owner for at most
--- a/cometseam/soak/checker.py
+++ b/cometseam/soak/checker.py
@@ -34,7 +34,7 @@
     PURGE = "purge"  # no copy from before a purge is accepted after the grace period
     CLIENT_GONE = "client gone"  # no attempt begins more than 0.1 s after its client disconnected
     TIME_LEFT = "time left"  # an endpoint is given no more time than the client has left
-    PROCESS = "process"  # no crash, and no exit without a signal to end
+    PROCESS = "process"  # no crash, and no exit with an error or without a SIGTERM
     RESOURCES = "resources"  # descriptors and memory within their limits
 
 
@@ -148,7 +148,8 @@
     def _earliest_poll_answer_at(self, event: Changed, front: int, life: int) -> float:
         started = self.process_starts[front, life]
         troubles = [each for each in self.history.of(DiscoveryTrouble) if each.front == front]
-        # A poll that follows at once, even on a connection that is never answered, counts as a poll as well.
+        # A poll that begins within `tolerance` after a time counts as in progress at it, even if it is never
+        # answered.
         tolerance = self.limits.tolerance
         polls, outages = self.polls[front, life], [each for each in troubles if not each.delay]
         unavailable = [(each.asked_at - tolerance, each.answered_at or each.ended_at) for each in polls]
@@ -168,7 +169,7 @@
 
 
 def _without_paused_writes(index: _HistoryIndex, violations: list[Violation]) -> Iterator[Violation]:
-    """Leave out one attempt per pause of a process, caught between the last check of its state and the write.
+    """Leave out one request per pause of a process: the pause fell between its last check and its write.
 
     No process can check and write in one step. Where attempts of a second request are wrong after the same
     pause, the front has resumed without a new check, and all of them count.
@@ -276,7 +277,7 @@
                     yield Violation(Rule.ONE_EFFECT, began_at, message)
 
 
-NEVER_RAN = ("LACK", "WAIT", "PAST")
+NEVER_RAN = ("LACK", "WAIT", "PAST")  # answers of an endpoint that did not run the request
 
 
 def _drain_violations(index: _HistoryIndex) -> Iterator[Violation]:
--- a/cometseam/soak/engine.py
+++ b/cometseam/soak/engine.py
@@ -176,7 +176,7 @@
         self._tasks.start_soon(front.monitor)
 
     def _reserve_address(self) -> tuple[str, int]:
-        """Return a free address, bound to a socket so that nobody else gets it while this soak runs."""
+        """Return a free address, bound to a socket so that no other process gets it while this soak runs."""
         reserved = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         reserved.bind(("127.0.0.1", 0))
@@ -275,11 +275,11 @@
             front.signal(signal.SIGCONT)
             self.history.add(Acted(began_at, fault.kind, front.name, time.monotonic()))
         else:
-            base = front.write_config()
+            last_event = front.write_config()
             self._record_fault(fault, front.name, time.monotonic())
             await (front.kill() if fault.kind is Kind.KILL else front.terminate())
             await anyio.sleep(fault.lasts)
-            await front.start(base)
+            await front.start(last_event)
             with anyio.move_on_after(READY_TIMEOUT_S):
                 await _wait_until_listening(front)
         front.has_active_fault = False
--- a/cometseam/verdicts/prober.py
+++ b/cometseam/verdicts/prober.py
@@ -3,10 +3,10 @@
 The one front that owns the task `probe` sends each listed cache a health probe once per interval, with the
 caches spread over the interval. `fails` consecutive failures make the verdict `bad`, `passes` consecutive
 successes revoke it. A `bad` verdict that still applies is republished before it expires; one that is not
-republished expires at every front (`VerdictTable`), so a prober that dies leaves nothing to clean up.
+republished expires at every front (`VerdictTable`), so a prober that ends leaves nothing to clean up.
 
 Where more than `most_bad` of the caches fail at once, the likely cause is this front's own link, or its zone,
-being cut off: then no new `bad` verdict is published and none is renewed.
+being cut off: then no `bad` verdict on a failing cache is published or republished.
 """
 
 from collections.abc import Iterable
@@ -19,9 +19,9 @@
     """The terms of probing; times in ms.
 
     `interval`: between two probes of one cache. `within`: timeout of a probe. `fails`, `passes`: consecutive
-    failures that make a verdict, consecutive successes that revoke it. `lasts`: how long a verdict applies
-    after it was last published. `most_bad`: the fraction of the listed caches above which failures are
-    attributed to the prober's own link. `most_out`: the largest number of probes in flight.
+    failures that make a verdict `bad`, consecutive successes that revoke it. `lasts`: how long a verdict
+    applies after it was last published. `most_bad`: the fraction of the listed caches above which failures
+    are attributed to the prober's own link. `most_out`: the largest number of probes in flight.
     """
 
     interval: float = 1000.0
@@ -56,7 +56,7 @@
     in_flight: bool = False
     consecutive_failures: int = 0
     consecutive_successes: int = 0
-    evidence_since: float = 0.0  # when the first of the consecutive failures was sent
+    evidence_since: float = 0.0  # when the first of the consecutive failed probes was sent
     bad: bool = False
     published_at: float | None = None  # when the verdict was last published
 
@@ -90,7 +90,7 @@
         has detected it; so an existing verdict applies until the new prober's own probes revoke it.
         """
         self._number = 0
-        # All state starts over: the result of a probe still in flight from an earlier term is ignored.
+        # All state starts over: the result of a probe in flight since an earlier ownership is ignored.
         for cache in self.health_by_cache:
             self.health_by_cache[cache] = CacheHealth(
                 now + self._probe_offset(cache), bad=cache in bad, evidence_since=bad.get(cache, now)
@@ -135,7 +135,7 @@
         )
 
     def pop_due_verdicts(self, now: float) -> list[CacheVerdict]:
-        """Return the verdicts to publish now: those that changed, and those to be renewed."""
+        """Return the verdicts to publish now: those that changed, and those due to be republished."""
         terms = self.terms
         # A single failure counts here: probes are spread over the interval, so when the first cache has
         # failed twice each other one has been probed since. Otherwise a prober that is cut off would publish
--- a/cometseam/verdicts/verdict_table.py
+++ b/cometseam/verdicts/verdict_table.py
@@ -1,6 +1,6 @@
 """A front's copy of the fleet's verdicts: fenced, and expired by the front's own clock. Without I/O.
 
-A verdict carries its prober's token (the fence) and a number that counts that prober's verdicts. One of an
+A verdict carries its prober's fencing token and a number that counts that prober's verdicts. One of an
 older token, or of a lower number under the same token, is stale and is ignored: it can arrive late by a slow
 watch, or from a prober that was paused. One that is not republished within `ttl` expires here whatever the
 service does, so a front cut off from the service applies a verdict for at most `ttl` after it last received
@@ -36,7 +36,7 @@
 
 
 class VerdictTable:
-    """The verdicts that this front knows, by cache; an entry leaves on expiry, or beyond `MAX_VERDICTS`."""
+    """The verdicts that this front knows, by cache; one is dropped on expiry, or beyond `MAX_VERDICTS`."""
 
     def __init__(self, ttl: float) -> None:
         self.ttl = ttl
--- a/tests/standins/fronts.py
+++ b/tests/standins/fronts.py
@@ -132,8 +132,8 @@
 ) -> AsyncIterator[Fronts]:  # fmt: skip
     """Run `count` fronts on the same caches, `cache-1` and `names`; each is configured for `expected` fronts.
 
-    `relays`: the fleet's cap on relays in flight at one cache; `budget`: further relays of the fleet in a
-    second; 0: no limit. `rates`: the rates of the lease clocks, by front.
+    `relays`: the fleet's cap on relays in flight at one cache; `budget`: how many relays after the first of
+    their pull the fleet may send in a second; 0: no limit. `rates`: the rates of the lease clocks, by front.
     """
     budget_section = BUDGET_SECTION % budget if budget else ""
     cap = f", relays: {{ caches: {relays} }}" if relays else ""
--- a/tests/standins/limits.py
+++ b/tests/standins/limits.py
@@ -58,7 +58,7 @@
     coordinator: Coordinator | None = None
     paused_coordinators: list[tuple[Coordinator, float]] = field(default_factory=list)  # and until when
     service_down_until: float = 0.0
-    rejected_grants: int = 0  # grants written under an older token
+    rejected_grants: int = 0  # those sent under an older token than the current one
     sums: list[float] = field(default_factory=list)
     used_sums: list[float] = field(
         default_factory=list
@@ -130,7 +130,7 @@
         self._issue_grants(self.coordinator)
 
     def pause_coordinator(self, until: float) -> None:
-        """Pause the coordinator beyond its lease: another is elected, and its late grants are rejected."""
+        """Pause the coordinator beyond its lease; its late grants are rejected once another is elected."""
         if self.coordinator is not None:
             self.paused_coordinators.append((self.coordinator, until))
             self.coordinator = None
