--- a/cometseam/discovery/client.py
+++ b/cometseam/discovery/client.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class Poll:
-    """One connection and the state of its poll for the log; times are milliseconds of the monotonic clock."""
+    """One connection and the state of its poll; times are milliseconds of the monotonic clock."""
 
     number: int
     connection: DiscoveryConnection
@@ -75,7 +75,7 @@
         self._sequence = EventSequence(last_seq)
         self._schedule = PollSchedule(poll_policy or PollPolicy())
         self._confirmation = ConfirmationTracker(confirmation_policy or ConfirmationPolicy(), clock())
-        self._unconfirmed_attempts = 0  # attempts written while the known state was unconfirmed
+        self._unconfirmed_attempts = 0  # attempts recorded while the known state was unconfirmed
         self._polls: dict[int, Poll] = {}
         self._connections_started = 0
         self._state_changed = anyio.Event()  # set when the schedule must be evaluated again
@@ -106,8 +106,9 @@
     def read_now(self) -> None:
         """Process all input that has already arrived, without waiting.
 
-        Called before a request is forwarded: after a pause of the process the event loop may handle requests
-        before the answer to a poll that arrived earlier than they did.
+        Repeated calls within `READ_NOW_INTERVAL_MS` do nothing. Called before a request is forwarded: after a
+        pause of the process the event loop may handle requests before the answer to a poll that arrived
+        earlier than they did.
         """
         now = self._clock()
         if now - self._last_read_at < READ_NOW_INTERVAL_MS:
@@ -121,7 +122,7 @@
         return 0.0 if self.is_passive() else self._confirmation.remaining_wait(self._clock())
 
     def record_attempt(self) -> float | None:
-        """Record that an attempt was written.
+        """Record that an attempt was passed to a connection.
 
         Returns:
             For how many ms the known state has been unconfirmed; None if it is confirmed.
--- a/cometseam/discovery/confirmation.py
+++ b/cometseam/discovery/confirmation.py
@@ -1,6 +1,6 @@
 """Tracks whether discovery has confirmed what the front knows of endpoints and purges. No I/O.
 
-The front is held to everything that discovery would have reported to a poll. So the known state is confirmed
+The front counts as informed of all that discovery would have reported to a poll. So the state is confirmed
 only while a poll is outstanding, or was until very recently. It is unconfirmed after a start, after a pause
 of the process, and when no connection has carried a poll for a while. An answer to a poll sent since then
 confirms it. All times are milliseconds of a monotonic clock, passed in by the caller.
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmationPolicy:
-    """Durations in milliseconds. After the waits requests use the known state, as discovery may be down.
+    """Durations in milliseconds. After its wait a request uses the unconfirmed state: discovery may be down.
 
     At a start waiting costs little, because other fronts serve meanwhile, and the known state may be old. A
     front that is already serving waits less, and not at all if discovery refuses connections.
@@ -131,8 +131,8 @@
     def process_paused(self, now: float, duration: float) -> None:
         """Record that the process continues after a pause of `duration` ms.
 
-        The state stays confirmed if a poll was outstanding throughout and is not due yet: discovery would
-        have answered it.
+        The state stays as it was if the pause is at most `max_gap`, or if a long poll was outstanding
+        throughout and fell due at most `max_gap` ago, or not yet: discovery would have answered it.
         """
         if duration <= self._policy.max_gap or self._was_polled_throughout(now - duration, now):
             return
--- a/cometseam/discovery/schedule.py
+++ b/cometseam/discovery/schedule.py
@@ -1,8 +1,8 @@
 """Decides when discovery is polled, over how many connections, and when a connection is abandoned. No I/O.
 
-A late poll may still be answered, and the front is then held to that answer whether or not it reads it. So a
-late poll is not abandoned: another starts in parallel on its own connection, and the first answer to arrive
-is used. All times are milliseconds of a monotonic clock, passed in by the caller.
+A late poll may still be answered, and the front then counts as informed whether or not it reads the answer.
+So a late poll is not abandoned: another starts in parallel on its own connection, and the first answer to
+arrive is used. All times are milliseconds of a monotonic clock, passed in by the caller.
 """
 
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 class PollPolicy:
     """Durations in milliseconds, and the limits on connections.
 
-    The front is held to everything that discovery would have reported to a poll, so each delay that the front
-    itself causes is well below the drain grace period (`for_drain_grace`). By default a silent connection is
-    followed by another after 2.0 s, and then by one more every 250 ms until one is answered.
+    The front counts as informed of all that discovery would have reported to a poll, so each delay that the
+    front itself causes is well below the drain grace period (`for_drain_grace`). By default a silent
+    connection is followed by another after 2.0 s, and then by one more every 250 ms until one is answered.
     """
 
     hold: float = 1500.0  # how long discovery may hold a poll while it has no events
-    quick_hold: float = 1.0  # hold of a poll sent in parallel to an overdue one: answered immediately
+    quick_hold: float = 1.0  # hold of a poll that is to be answered immediately
     answer_allowance: float = 500.0  # time after its hold at which an unanswered poll is overdue
     quick_allowance: float = 200.0  # the same for a poll that is to be answered immediately
     connect_allowance: float = 200.0  # time after which a connection still being established is overdue
@@ -32,7 +32,7 @@
 
     @classmethod
     def for_drain_grace(cls, grace: float) -> "PollPolicy":
-        """Return the policy for a drain grace period in ms: no delay exceeds half of it."""
+        """Return the policy for a drain grace period in ms, which limits some delays to half of it."""
         defaults = cls()
         allowance = min(defaults.quick_allowance, 0.4 * grace)
         return cls(
@@ -47,7 +47,7 @@
 class TrackedConnection:
     """One connection: being established (`hold` is None), or with an unanswered poll."""
 
-    started_at: float
+    started_at: float  # when connecting began, or the poll was sent
     hold: float | None = None
     uses_current_address: bool = True  # False after `address_changed`
 
--- a/cometseam/program.py
+++ b/cometseam/program.py
@@ -65,7 +65,7 @@
     router.read_discovery, router.on_attempt_written = discovery.read_now, discovery.record_attempt
     resources.confirmation_wait, resources.on_resume = discovery.confirmation_wait, discovery.record_pause
     discovery.detect_process_pause = resources.detect_process_pause
-    # Existing objects stay, and pulls leave almost no reference cycles, so frequent collections are a waste.
+    # Existing objects stay, and pulls leave almost no reference cycles: frequent collections find nothing.
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_OBJECTS)
@@ -186,7 +186,7 @@
             except OperatorFileError as refused:
                 COUNTERS.add("operator.refused")
                 for fault in refused.faults[:MAX_LOGGED_FAULTS]:
-                    place, key = (f"{part}: " if part else "" for part in (fault.location, fault.path))
+                    place, key = (f"{text}: " if text else "" for text in (fault.location, fault.path))
                     log_event("operator.refused", place=place, path=key, reason=fault.reason)
             except Exception as error:  # on any error the running plans stay
                 COUNTERS.add("operator.refused")
@@ -247,7 +247,7 @@
 
 
 async def _sample(clock: Clock, router: Router) -> None:
-    """Measure how late the event loop runs due timers, and report it to the router."""
+    """Measure how late the event loop runs due timers for the router; also sample the process's counters."""
     while True:
         for _ in range(20):
             expected_at = clock.now() + LAG_SAMPLE_INTERVAL_MS
--- a/cometseam/routing/actor.py
+++ b/cometseam/routing/actor.py
@@ -46,7 +46,8 @@
 # Age of a pull from which its client's connection is checked before anything is sent for the pull. Nothing
 # may be sent later than 100 ms after the client has left, and its hang-up may be unread while the front lags.
 CLIENT_CHECK_AFTER_MS = 50.0
-# Share of its time that a request may wait for discovery; shed later, it has little time left elsewhere.
+# Share of a request's time for which it may wait for discovery; shed later, it has little time left to be
+# served by another front.
 MAX_HELD_TIME_SHARE = 0.4
 MAX_REMEMBERED_ENDPOINTS = 256  # draining or removed endpoints whose time of change is kept, for the log
 
@@ -70,7 +71,7 @@
 
 @dataclass(slots=True)
 class InFlightRelay:
-    """A pull's relay in flight."""
+    """A pull's relay in flight, its attempt, and the peer that it went to (None: its cache is not listed)."""
 
     relay: i.Relay
     attempt: Attempt
@@ -92,7 +93,7 @@
         self, front: Front, names: NameTables, max_open: int, resources: ProcessResources, seed: int = 0,
         tracer: Tracer | None = None,
     ) -> None:  # fmt: skip
-        self._seed = seed  # for random choices outside the module: the spread of level changes between fronts
+        self._seed = seed  # for random choices outside the decision module: spreads level changes of fronts
         self._levels: LevelManager | None = None
         self._front, self._names, self._resources = front, names, resources
         self._workloads = {name: index for index, name in enumerate(names.workloads)}
@@ -110,7 +111,8 @@
         self._has_list = False
         # Reads and applies any unread discovery events; see `apply_changes`.
         self.read_discovery: Callable[[], None] = lambda: None
-        # Called for each attempt written; returns for how long (ms) the list has been unconfirmed, or None.
+        # Called for each attempt passed to a connection; returns for how many ms the list has been
+        # unconfirmed, None if it is confirmed.
         self.on_attempt_written: Callable[[], float | None] = lambda: None
         self._not_ready_since: dict[int, float] = {}  # by draining or removed cache: when this was received
         self.draining = self._closing = False
@@ -151,7 +153,7 @@
         )
 
     def hang_up(self, client: Client, stream: int) -> None:
-        """Queue the news that a client no longer waits, behind its pull if that is not handled yet."""
+        """Queue the withdrawal of a pull by its client, behind the pull if that is not handled yet."""
         self._mailbox.push(ClientGone(client, stream))
 
     def apply_changes(self, changes: list[DiscoveryEvent], is_live: bool = True) -> None:
@@ -169,7 +171,7 @@
     def record_loop_lag(self, lag: float) -> None:
         """Queue the event loop's lag (ms)."""
         self._resources.record_loop_lag(lag)
-        self._mailbox.put_urgent(i.LoopLagged(lag))  # sampled a few times a second
+        self._mailbox.put_urgent(i.LoopLagged(lag))  # bounded: one per `LAG_SAMPLE_INTERVAL_MS`
 
     def update_plans(self, compiled: CompiledConfig) -> None:
         """Queue new plans, which apply to pulls received from then on."""
@@ -225,7 +227,7 @@
         return self._endpoints.addresses()
 
     def _update_levels(self, compiled: CompiledConfig) -> None:
-        """Apply the levels of reduced service of a new file; the current one is found again by its name."""
+        """Apply the service levels of a new operator's file; the level matching the current one is kept."""
         if compiled.level_policy is None:
             if self._levels is not None:
                 self._levels.disable()
@@ -236,7 +238,7 @@
         if self._levels is not None:
             self._levels.replace(compiled.level_policy, routes)
             return
-        from cometseam.routing.levels import LevelManager  # with histograms; imported only for levels
+        from cometseam.routing.levels import LevelManager  # imports hdrh: only if levels are configured
 
         self._levels = LevelManager(
             compiled.level_policy, routes, self._front, self._names.workloads, self._resources,
@@ -317,7 +319,7 @@
 
     def _open_pull(self, message: RequestReceived) -> None:
         request, now = message.request, self._resources.clock.now()
-        # Keeps hundreds of withdrawn pulls from delaying the others.
+        # Withdrawn pulls are dropped first: hundreds of them would delay the others.
         if not self._awaits(message.client, message.stream, message.received_at):
             COUNTERS.add("pull.withdrawn")
             request.frame.free()
@@ -367,7 +369,8 @@
     def _awaits(self, client: Client, stream: int, since: float) -> bool:
         """Return whether a client still waits for the answer to a request that it sent at `since`.
 
-        This is called just before a request is written, so it reads unread discovery events as well.
+        This is called when a pull is opened and just before a relay is written, so it reads unread discovery
+        events as well.
         """
         self.read_discovery()
         if self._resources.clock.now() - since > CLIENT_CHECK_AFTER_MS:
@@ -419,7 +422,7 @@
             self._process_event(
                 i.CacheListUpdate(i.ListUpdateKind.CACHED, update.entries) if is_first_list else update
             )
-            # Unsent relays were decided when the cache was ready, at its old address, before its new start.
+            # Unsent relays were decided for the cache's earlier state: ready, at its old address or start.
             self._withdraw_unsent(lambda _, relay: relay.cache in changed or relay.source in changed)
 
     def _withdraw_unsent(self, is_affected: Callable[[OpenPull, i.Relay], bool]) -> None:
--- a/cometseam/routing/translate.py
+++ b/cometseam/routing/translate.py
@@ -74,7 +74,7 @@
     def _number_for(self, name: str) -> int:
         """Return a cache's number.
 
-        It is derived from the name alone, so that all fronts hash alike, also after a restart.
+        It is derived from the name alone, so that all fronts use the same number, also after a restart.
         """
         salt = 0
         while name not in self._numbers_by_name:
--- a/cometseam/transport/buffers.py
+++ b/cometseam/transport/buffers.py
@@ -27,7 +27,7 @@
 
     def resize(self, memory_bytes: int) -> None:
         """Change the memory bound; surplus buffers in use are discarded when they are released."""
-        max_buffers = max(memory_bytes // BUFFER_SIZE_BYTES, 2 * 8)
+        max_buffers = max(memory_bytes // BUFFER_SIZE_BYTES, 2 * 8)  # at least two of the largest messages
         self._unallocated += max_buffers - self.max_buffers
         self.max_buffers = max_buffers
         self._trim()
--- a/cometseam/transport/client.py
+++ b/cometseam/transport/client.py
@@ -36,8 +36,8 @@
 IDLE_TIMEOUT_MS = 4500.0
 CHECK_INTERVAL_S = 0.25  # between two checks for overdue and stalled connections
 MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
-CLOSING_DIVISOR = 16  # with those being closed, a 16th more connections than `max_clients` are allowed
-# By the protocol, what a client sends may cross the close of its connection for this long.
+CLOSING_DIVISOR = 16  # with those being closed, `max_clients` may be exceeded by a 16th
+# By the protocol, input sent before a client saw the close of its connection may arrive for this long.
 CLOSE_CROSSING_MS = 50.0
 
 
@@ -75,7 +75,7 @@
         self._has_sent_frame = False  # at least one complete frame
         self.used_at = clock.now()  # when it last sent a complete frame or was answered
         self._is_closing = False  # no more input is processed; closes when no pull is open
-        self._discarded_bytes = 0  # bytes received after that
+        self._discarded_bytes = 0  # bytes received since `_is_closing` was set
         self._connected_at = clock.now()
         self._close_reason = "the client"  # or why this process closed the connection
 
@@ -116,7 +116,7 @@
         )
 
     def is_overdue(self) -> bool:
-        """Return whether it has been connected for too long without an open pull."""
+        """Return whether no pull is open and it has been idle, or its frame incomplete, for too long."""
         if self.is_idle and self._is_frame_overdue():
             return True
         if self._has_sent_frame:  # a frame that has just begun is awaited: `_is_frame_overdue` bounds that
@@ -125,7 +125,7 @@
         return is_silent and self.used_at < self._clock.now() - FRAME_TIMEOUT_MS
 
     def _is_frame_overdue(self) -> bool:
-        """Return whether a frame has been incomplete for too long, not counting waits for buffers here."""
+        """Return whether a frame has been incomplete for too long, apart from waits for a free buffer."""
         if self._connection.starved and self._partial_frame_since:
             self._partial_frame_since = self._clock.now()
         # Unread input may be the rest of it: timers run before sockets after a pause of the process.
@@ -295,8 +295,8 @@
 class Listener:
     """Accepts up to `max_clients` client connections; beyond that the longest idle one is closed.
 
-    Its write side is closed first and it is still read up to a bound, so that input which crosses the close
-    destroys no answer.
+    A connection's write side is closed first and it is still read up to a bound, so that input which arrives
+    after the close destroys no answer.
     """
 
     def __init__(
@@ -409,7 +409,11 @@
             self._closing.pop(client, None)
 
     async def close_overdue(self, stall_timeout: float) -> None:
-        """Close connections that are overdue, or stalled for `stall_timeout` ms, until cancelled."""
+        """Close overdue and stalled connections, and reject overdue frames, until cancelled.
+
+        Args:
+            stall_timeout: for how many ms a client may leave an answer unread.
+        """
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             self.close_stalled(stall_timeout)
@@ -420,7 +424,7 @@
                     self._close_client(client, "overdue")
 
     def close_stalled(self, stall_timeout: float) -> None:
-        """Close connections that have held buffers for `stall_timeout` ms: other connections need them."""
+        """Close connections that leave an answer unread for `stall_timeout` ms: its buffers are needed."""
         for client in list(self.clients):
             if client.is_stalled(stall_timeout):
                 COUNTERS.add("client.stalled")
--- a/cometseam/transport/connection.py
+++ b/cometseam/transport/connection.py
@@ -51,12 +51,12 @@
         self._sock, self._pool, self._clock = sock, pool, clock
         self._outgoing: deque[OutgoingMessage] = deque()
         self._write_blocked = anyio.Event()
-        self.write_blocked_since = 0.0  # when the remote side last stopped accepting bytes
+        self.write_blocked_since = 0.0  # when bytes were last accepted, or a message was queued behind none
         self._last_write_at = 0.0
         self.closed = False
         self.starved = False  # reading waits for a buffer of this process
         self._close_requested = anyio.Event()  # set when the write side is to be shut down
-        self._is_write_shut_down = self._ends_with_remote = False
+        self._is_write_shut_down = self._ends_on_remote_close = False
         # A write failed for lack of system memory: the socket may count as writable all the same.
         self._is_short_of_memory = False
         self._discarded_bytes = 0  # bytes read after the write side was shut down
@@ -184,7 +184,7 @@
         await self._close_requested.wait()
         while self._outgoing and not self.closed:  # bounded: stalled connections are closed elsewhere
             await self._pool.wait()
-        # What was written longer ago than LINGER_S has arrived.
+        # What was written longer ago than LINGER_S is taken to have arrived.
         await anyio.sleep(max(LINGER_S - (self._clock.now() - self._last_write_at) / 1000.0, 0.0))
         self.close()
 
@@ -197,7 +197,7 @@
         still unread, and `on_remote_close` is called in the same turn of the loop: the rest of the shutdown
         takes a few turns.
         """
-        self._ends_with_remote = on_remote_close is not None
+        self._ends_on_remote_close = on_remote_close is not None
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write_when_writable)
@@ -235,9 +235,10 @@
                     view = view[consumed:]
                     if await self._wait_for_buffer():
                         return
-                # The remote close may follow directly: it is detected before what was read is processed.
-                # Otherwise pulls would be forwarded for clients that left while the front was late to read.
-                skip_wait = self._ends_with_remote and not skipped_wait and size < len(buffer)
+                # A remote close may follow directly: the next read does not wait, so it is detected before
+                # the requests just read are handled. Otherwise pulls would be forwarded for clients that left
+                # while the front was late to read.
+                skip_wait = self._ends_on_remote_close and not skipped_wait and size < len(buffer)
             except OSError as error:
                 if error.errno not in TRANSIENT_ERRORS:
                     return
@@ -257,7 +258,7 @@
             await self._pool.wait()
         finally:
             self.starved = False
-        return self._ends_with_remote and self.remote_has_closed()
+        return self._ends_on_remote_close and self.remote_has_closed()
 
     async def _write_when_writable(self) -> None:
         while not self.closed:
--- a/cometseam/transport/peer.py
+++ b/cometseam/transport/peer.py
@@ -162,7 +162,7 @@
             if (
                 attempt is not None
                 and answer.is_not_modified
-                and not _names_held_copy(answer, attempt.command.held_tag)
+                and not _has_held_tag(answer, attempt.command.held_tag)
             ):
                 # A client's copy is confirmed as current only by an answer with that copy's tag.
                 error_text = "an answer confirms a copy without the client's tag"
@@ -198,7 +198,7 @@
         """Check whether the connection is silent or an answer does not end, while relays are in flight.
 
         Without it, relays on a connection that stays open but no longer works would only time out one by one.
-        It does harm to a peer that pauses for that long and then resumes.
+        The drawback is that a peer which only pauses for long enough loses the connection as well.
         """
         self._silence_timer = None
         if not self.attempts or self._is_suspect or self.connection is None or self.connection.closed:
@@ -295,7 +295,7 @@
             self._start_keep_alive_check()
 
     def _start_keep_alive_check(self) -> None:
-        """Send a hello on a silent connection: if the remote machine has vanished, it stays open."""
+        """Send a hello on a silent connection, which stays open even if the remote machine has vanished."""
         if self._is_suspect or self.connection is None:
             return
         self._is_suspect, self._suspect_since = True, self._resources.clock.now()
@@ -336,14 +336,14 @@
         self._resources.timers.call_at(now + wait_ms, close_if_unfinished)
 
     def close(self, why: str) -> None:
-        """Close the connection; all relays in flight on it end."""
+        """Close the connection; its relays end, or move to another connection (`Peer.channel_closed`)."""
         if self.connection is not None and not self.connection.closed:
             self.closed_locally = True
             log_event("peer.connection_ended", peer=self._peer.name, why=why, unanswered=len(self.attempts))
             self.connection.close()
 
 
-def _names_held_copy(answer: Answer, held_tag: str) -> bool:
+def _has_held_tag(answer: Answer, held_tag: str) -> bool:
     """Return whether an answer carries the tag of the copy that the client holds."""
     return bool(held_tag) and answer.tag == held_tag
 
@@ -361,7 +361,7 @@
     _channels: list[Channel] = field(default_factory=list)
     _waiting: list[Attempt] = field(default_factory=list)  # for a connection, each at most until its deadline
     _in_flight: dict[int, Attempt] = field(default_factory=dict)  # by pull number
-    _is_settling: bool = False
+    _is_settling: bool = False  # a dispatch is scheduled for when relays may be written again
     _tasks: TaskGroup | None = None
 
     async def run(self) -> None:
--- a/cometseam/transport/resources.py
+++ b/cometseam/transport/resources.py
@@ -27,7 +27,7 @@
     timers: Timers
     max_connections: int  # total of connections to peers
     peer_count: int = 1  # endpoints in the list of discovery
-    sampled_at: float = float("inf")  # when the loop's lag was last measured; that is a few times a second
+    sampled_at: float = float("inf")  # when the loop's lag was last measured
     resumed_at: float = float("-inf")  # when the process last resumed after a pause
     pause_duration: float = 0.0  # the longest that this pause can have lasted
     # The longest that requests still wait for discovery to confirm the list of endpoints; 0: no wait.
