--- a/bench/fleet_model.py
+++ b/bench/fleet_model.py
@@ -43,7 +43,7 @@
     pulled_at: dict[tuple[int, int], float] = field(default_factory=dict)
     _sequence: "count[int]" = field(default_factory=count)
 
-    def at(self, at: float, run: Callable[[], None]) -> None:
+    def schedule(self, at: float, run: Callable[[], None]) -> None:
         heappush(self.events, (at, next(self._sequence), run))
 
     def play(self, until: float) -> None:
@@ -52,7 +52,7 @@
             self.now, _, run = heappop(self.events)
             run()
 
-    def tell(self, front: int, event: i.Event) -> None:
+    def send_event(self, front: int, event: i.Event) -> None:
         """Pass an event to a front and carry out its actions."""
         for action in self.fronts[front].handle(self.now, event):
             match action:
@@ -60,7 +60,10 @@
                     self._start_relay(front, action)
                 case i.StartTimer():
                     timer_fired = i.TimerFired(action.timer_id)
-                    self.at(self.now + action.delay, lambda rang=timer_fired: self.tell(front, rang))  # type: ignore[misc]
+                    self.schedule(
+                        self.now + action.delay,
+                        lambda rang=timer_fired: self.send_event(front, rang),  # type: ignore[misc]
+                    )
                 case i.Shed() | i.Error():
                     self.counts["given up"] += 1
                     self.pulled_at.pop((front, action.id), None)
@@ -85,9 +88,9 @@
             ended = i.RelayEnded(
                 relay.id, number, relay.cache, outcome, i.Remark.HIT, duration, 0.0, not unanswered, load
             )
-            self.tell(front, ended)
+            self.send_event(front, ended)
 
-        self.at(self.now + max(duration, 1.0), end)
+        self.schedule(self.now + max(duration, 1.0), end)
 
 
 def schedule_pulls(fleet: Fleet, rate: float, seconds: float) -> None:
@@ -100,9 +103,9 @@
 
             def send_pull(front: int = front, number: int = number, object_id: int = object_id) -> None:
                 fleet.pulled_at[front, number] = fleet.now
-                fleet.tell(front, i.Pull(number, object_id, 0, 0, 2000.0, False, 50.0, 3))
+                fleet.send_event(front, i.Pull(number, object_id, 0, 0, 2000.0, False, 50.0, 3))
 
-            fleet.at(at + 1.0, send_pull)
+            fleet.schedule(at + 1.0, send_pull)
 
 
 PublishVerdict = Callable[[str, bool, float], None]  # cache, bad, ms since the first evidence
@@ -116,13 +119,13 @@
         fleet.counts["probes"] += 1
         fails = cache == str(SILENT_CACHE) and fleet.is_silent(fleet.now)
         duration = prober.terms.within if fails else 2.0
-        fleet.at(
+        fleet.schedule(
             fleet.now + duration,
             lambda cache=cache, fails=fails: prober.record_probe_result(cache, not fails),  # type: ignore[misc]
         )
     for verdict in prober.pop_due_verdicts(fleet.now):
         publish(verdict.cache, verdict.bad, fleet.now - verdict.evidence_since)
-    fleet.at(fleet.now + 20.0, lambda: run_prober(fleet, prober, is_alive, publish))
+    fleet.schedule(fleet.now + 20.0, lambda: run_prober(fleet, prober, is_alive, publish))
 
 
 def run(arguments: argparse.Namespace, seed: int, variant: str) -> Counter[str]:
@@ -137,7 +140,7 @@
     fronts = [Front(seed + n, front_settings) for n in range(arguments.fronts)]
     fleet = Fleet(fronts, random, lambda now: begin <= now < end)
     for front in range(arguments.fronts):
-        fleet.tell(front, i.CacheListUpdate(i.ListUpdateKind.CACHED, tuple(entries)))
+        fleet.send_event(front, i.CacheListUpdate(i.ListUpdateKind.CACHED, tuple(entries)))
     schedule_pulls(fleet, arguments.rate, arguments.seconds)
     names = [str(entry.cache) for entry in entries]
     verdict_tables = [VerdictTable(PROBE_TERMS.lasts) for _ in range(arguments.fronts)]
@@ -152,11 +155,11 @@
                     cache, token, verdict_number, bad, age, fleet.now
                 )
                 if update is not None:
-                    fleet.tell(front, i.HealthVerdict(int(cache), update.bad, update.ttl, update.age))
+                    fleet.send_event(front, i.HealthVerdict(int(cache), update.bad, update.ttl, update.age))
 
             for front in range(arguments.fronts):
                 delay = arguments.lag * (0.5 + random.random())
-                fleet.at(fleet.now + delay, lambda front=front: receive(front))  # type: ignore[misc]
+                fleet.schedule(fleet.now + delay, lambda front=front: receive(front))  # type: ignore[misc]
 
         return publish
 
@@ -175,10 +178,10 @@
 
     if variant == "shared":
         dies_at = 0.5 * arguments.seconds * 1000.0
-        fleet.at(
+        fleet.schedule(
             1.0, lambda: start_prober(lambda: fleet.now < dies_at, publisher(5, count(1)), verdict_tables[0])
         )
-        fleet.at(
+        fleet.schedule(
             dies_at + TAKEOVER_MS,
             lambda: start_prober(lambda: True, publisher(9, count(1)), verdict_tables[1]),
         )
@@ -186,9 +189,11 @@
         for front in range(arguments.fronts):
 
             def apply_own_verdict(cache: str, bad: bool, age: float, front: int = front) -> None:
-                fleet.tell(front, i.HealthVerdict(int(cache), bad, PROBE_TERMS.lasts if bad else 0.0, age))
+                fleet.send_event(
+                    front, i.HealthVerdict(int(cache), bad, PROBE_TERMS.lasts if bad else 0.0, age)
+                )
 
-            fleet.at(
+            fleet.schedule(
                 1.0,
                 lambda publish=apply_own_verdict, front=front: start_prober(  # type: ignore[misc]
                     lambda: True, publish, verdict_tables[front]
@@ -230,13 +235,13 @@
                 if poll_gates[front].record_update(*update, fleet.now):
                     receive_events(front, number)
 
-            fleet.at(fleet.now + delay, receive_update)
+            fleet.schedule(fleet.now + delay, receive_update)
 
     def poll(front: int) -> None:
         nonlocal poll_count
         is_reader = reader[0] == front
         if not poll_gates[front].should_poll(is_reader, fleet.now):
-            fleet.at(fleet.now + 50.0, lambda: poll(front))
+            fleet.schedule(fleet.now + 50.0, lambda: poll(front))
             return
         poll_count += 1
         number = last_event()
@@ -248,9 +253,9 @@
             receive_events(front, last_event())
             if reader[0] == front:
                 share_update(last_event())
-            fleet.at(fleet.now + 20.0, lambda: poll(front))
+            fleet.schedule(fleet.now + 20.0, lambda: poll(front))
 
-        fleet.at(fleet.now + 5.0 if number > last_known[front] else answer_at, handle_answer)
+        fleet.schedule(fleet.now + 5.0 if number > last_known[front] else answer_at, handle_answer)
 
     def end_reader() -> None:
         reader[0] = None
@@ -259,10 +264,10 @@
         reader[0], token[0], update_number[0] = 1, 9, 0
 
     for front in range(arguments.fronts):
-        fleet.at(1.0 + 2000.0 * random.random(), lambda front=front: poll(front))  # type: ignore[misc]
+        fleet.schedule(1.0 + 2000.0 * random.random(), lambda front=front: poll(front))  # type: ignore[misc]
     if is_shared:
-        fleet.at(500.0 * arguments.seconds, end_reader)
-        fleet.at(500.0 * arguments.seconds + TAKEOVER_MS, elect_reader)
+        fleet.schedule(500.0 * arguments.seconds, end_reader)
+        fleet.schedule(500.0 * arguments.seconds + TAKEOVER_MS, elect_reader)
     fleet.play(arguments.seconds * 1000.0)
     delays = [at - event * 5000.0 for times in received_at for event, at in times.items()]
     return poll_count, max(delays)
--- a/bench/levels.py
+++ b/bench/levels.py
@@ -21,8 +21,8 @@
 from cometseam.operator.load import load
 from cometseam.routing.levels import histogram
 from cometseam.timing import RouteKey, size_in_bytes
-from tests.drive import MAPS, SAMPLE, SERVERS, SETTINGS, line
-from tests.standins.scripted import Said, World
+from tests.drive import MAPS, SAMPLE, SERVERS, SETTINGS, cache_entry
+from tests.standins.scripted import FrontSimulation, ScriptedReply
 
 WORKLOADS = (
     replace(
@@ -51,7 +51,7 @@
 LARGE_UNTIL_MS = 40_000.0  # to here
 
 
-class SharedLinkWorld(World):
+class SharedLinkSimulation(FrontSimulation):
     """Simulated caches with least-recently-used eviction that fill over one shared link."""
 
     def __init__(self, compiled: CompiledConfig | None, seed: int) -> None:
@@ -62,15 +62,15 @@
         self.progressed_at = 0.0
         self.wake_up_number = 0
         self.controller: LevelController | None = None
-        super().__init__(FRONT_SETTINGS, tuple(line(cache) for cache in SERVERS), self.answer, seed)
+        super().__init__(FRONT_SETTINGS, tuple(cache_entry(cache) for cache in SERVERS), self.answer, seed)
         if compiled is not None and compiled.level_policy is not None:
             both = zip(compiled.route_names, compiled.table.routes, strict=True)
             routes = tuple((name, plan) for name, (plan, _) in both)
             self.controller = LevelController(
                 compiled.level_policy, routes, ("grids", "maps"), Random(seed), histogram
             )
-            self.tell(compiled.plans)
-            self.at(0.0, self.step_levels)
+            self.send_event(compiled.plans)
+            self.schedule(0.0, self.step_levels)
 
     def step_levels(self) -> None:
         """Evaluate the levels, as the routing actor does."""
@@ -78,30 +78,30 @@
         fill_utilization = self.front.fill_limit.in_flight / max(self.front.fill_limit.size, 1.0)
         _, service_level = self.controller.step(self.now, UtilizationSample(fill_utilization, 0.0, 0.0, None))
         if service_level is not None:
-            self.tell(service_level)
+            self.send_event(service_level)
         if self.now < DAY_MS:
-            self.at(self.now + EVALUATION_INTERVAL_MS, self.step_levels)
+            self.schedule(self.now + EVALUATION_INTERVAL_MS, self.step_levels)
 
-    def tell(self, event: i.Event) -> None:
+    def send_event(self, event: i.Event) -> None:
         """Add the link's load to answers and to the signals of the levels."""
         if isinstance(event, i.RelayEnded):
             link_utilization = len(self.transfers) / LINK_CAPACITY
             event = replace(event, load=(link_utilization,))
             if self.controller is not None:
                 self.controller.signals.record_link(self.now, link_utilization)
-        super().tell(event)
+        super().send_event(event)
 
     def _record_final(self, pull: int, kind: str) -> None:
         super()._record_final(pull, kind)
         if self.controller is not None:
-            story = self.stories[pull]
-            latency, target_latency = self.now - story.at, story.target_at - story.at
+            record = self.pull_records[pull]
+            latency, target_latency = self.now - record.at, record.target_at - record.at
             if kind != "shed":
                 self.controller.signals.record_answer(
-                    self.now, story.pull.workload, kind, latency, target_latency
+                    self.now, record.pull.workload, kind, latency, target_latency
                 )
 
-    def answer(self, now: float, relay: i.Relay, pull: i.Pull, random: Random) -> Said:
+    def answer(self, now: float, relay: i.Relay, pull: i.Pull, random: Random) -> ScriptedReply:
         """Answer a cache lookup from the copies; a fill shares the link and ends with its last byte."""
         copies = self.copies.setdefault(relay.cache, OrderedDict())
         transfer_time = pull.size_kb / FRONT_SETTINGS.stream_rate
@@ -110,11 +110,11 @@
         max_age = relay.max_age or (rules.fresh_ttl or float("inf"))
         if copy is not None and now - copy[1] <= max_age:
             copies.move_to_end(pull.object)
-            return Said(2.0 + transfer_time)
+            return ScriptedReply(2.0 + transfer_time)
         if relay.source == relay.cache or relay.only_cached:
             miss_remark = i.Remark.NONE if relay.source == relay.cache else i.Remark.SOURCE_LACKS
-            return Said(2.0, i.Outcome.MISS, miss_remark)
-        number = len(self.stories[relay.id].sent) - 1
+            return ScriptedReply(2.0, i.Outcome.MISS, miss_remark)
+        number = len(self.pull_records[relay.id].sent) - 1
         self._progress()
         self.transfers[relay.id, number] = [
             transfer_time,
@@ -124,7 +124,7 @@
             pull.object,
         ]
         self._schedule_wake_up()
-        return Said(None)
+        return ScriptedReply(None)
 
     def _progress(self) -> None:
         """Account for the bytes transferred since the last change."""
@@ -140,7 +140,7 @@
             rate = min(1.0, LINK_CAPACITY / len(self.transfers))
             wake_up_number = self.wake_up_number
             first_end = max(min(entry[0] for entry in self.transfers.values()), 0.0) / rate
-            self.at(self.now + first_end + 0.01, lambda: self._finish_transfers(wake_up_number))
+            self.schedule(self.now + first_end + 0.01, lambda: self._finish_transfers(wake_up_number))
 
     def _finish_transfers(self, wake_up_number: int) -> None:
         if wake_up_number != self.wake_up_number:
@@ -154,10 +154,10 @@
                     copies[int(entry[4])] = (entry[3], self.now)
                     while sum(size for size, _ in copies.values()) > CACHE_SIZE_KB:
                         copies.popitem(last=False)
-                self._end_relay(pull, number, Said(0.0, i.Outcome.OK, i.Remark.FILLED))
+                self._end_relay(pull, number, ScriptedReply(0.0, i.Outcome.OK, i.Remark.FILLED))
         self._schedule_wake_up()
 
-    def _end_relay(self, pull: int, number: int, reply: Said) -> None:
+    def _end_relay(self, pull: int, number: int, reply: ScriptedReply) -> None:
         if (pull, number) in self.transfers:  # timed out or cancelled: it leaves the link
             self._progress()
             del self.transfers[pull, number]
@@ -167,13 +167,13 @@
 
 def run_day(
     compiled: CompiledConfig | None, load_factor: float, seed: int, is_plain: bool = False
-) -> SharedLinkWorld:
+) -> SharedLinkSimulation:
     """Play a day; with `is_plain` the logic neither sheds early nor spills under load."""
     admission_share, spill_share = logic.ADMISSION_SHARE, logic.SPILL_SHARE
     if is_plain:
         logic.ADMISSION_SHARE = logic.SPILL_SHARE = 1e9
     try:
-        world = SharedLinkWorld(compiled, seed)
+        simulation = SharedLinkSimulation(compiled, seed)
         random, at, number = Random(seed), 0.0, 0
         while at < DAY_MS:
             at += random.expovariate(0.03 * load_factor)
@@ -192,25 +192,25 @@
                 key = RouteKey(workload, object_id, object_id % 256, 0, size_in_bytes(size_kb), 1)
                 route_index = compiled.table.find(key)
                 pull.plan_index = compiled.table.routes[route_index][0] if route_index >= 0 else -1
-            world.pull(at, pull)
-        world.run()
-        assert world.judge() == [], world.judge()[:3]
-        return world
+            simulation.pull(at, pull)
+        simulation.run()
+        assert simulation.violations() == [], simulation.violations()[:3]
+        return simulation
     finally:
         logic.ADMISSION_SHARE, logic.SPILL_SHARE = admission_share, spill_share
 
 
-def gain_share(workload: int | None) -> Callable[[SharedLinkWorld], float]:
+def gain_share(workload: int | None) -> Callable[[SharedLinkSimulation], float]:
     """Return a function for the share of gain within the target latency while large objects are requested."""
 
-    def share(world: SharedLinkWorld) -> float:
+    def share(simulation: SharedLinkSimulation) -> float:
         offered = earned = 0.0
-        for story in world.stories.values():
-            if workload in (None, story.pull.workload) and LARGE_FROM_MS <= story.at < LARGE_UNTIL_MS:
-                pull_gain = WORKLOADS[story.pull.workload].gain
+        for record in simulation.pull_records.values():
+            if workload in (None, record.pull.workload) and LARGE_FROM_MS <= record.at < LARGE_UNTIL_MS:
+                pull_gain = WORKLOADS[record.pull.workload].gain
                 offered += pull_gain
                 earned += pull_gain * (
-                    story.finals[0][1] == "finished" and story.finals[0][0] <= story.target_at
+                    record.finals[0][1] == "finished" and record.finals[0][0] <= record.target_at
                 )
         return earned / offered
 
@@ -228,11 +228,15 @@
     for load_factor in (0.8, 1.2, 1.6, 2.0):
         variants = {"neither": (None, True), "the module": (None, False), "and levels": (compiled, False)}
         for name, (levels, is_plain) in variants.items():
-            worlds = [run_day(levels, load_factor, seed, is_plain) for seed in range(1, arguments.seeds + 1)]
-            shares = [statistics.mean(map(gain_share(which), worlds)) for which in (0, 1, None)]
-            by_seed = [gain_share(None)(world) for world in worlds]
+            simulations = [
+                run_day(levels, load_factor, seed, is_plain) for seed in range(1, arguments.seeds + 1)
+            ]
+            shares = [statistics.mean(map(gain_share(which), simulations)) for which in (0, 1, None)]
+            by_seed = [gain_share(None)(simulation) for simulation in simulations]
             times = [
-                sum(w.controller.state_machine.level_times_ms[1:]) / 1000.0 for w in worlds if w.controller
+                sum(s.controller.state_machine.level_times_ms[1:]) / 1000.0
+                for s in simulations
+                if s.controller
             ]
             remark = f"{min(by_seed):.3f} to {max(by_seed):.3f}"
             remark += f"; {statistics.mean(times):.1f} s below full service" if times else ""
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -52,9 +52,9 @@
                 print(f"{name} | {variant} | {over_limit(run):.2f} | {fmean(used or [0.0]):.2f}", flush=True)
 
 
-async def cut_all_links(here: Fronts) -> None:
+async def cut_all_links(running_fronts: Fronts) -> None:
     """Cut all fronts off from the service, so that each has an equal part."""
-    for link in here.links:
+    for link in running_fronts.links:
         await link.set_cut()
 
 
@@ -132,10 +132,10 @@
     """Make a cache stop answering and resume, and print how late other fronts received each verdict."""
     delays: list[float] = []
     async with fronts(4, ("cache-2", "cache-3")) as run:
-        prober = await run.probing()
+        prober = await run.wait_for_owner()
 
         def published_count() -> int:
-            return run.worlds[prober].output.count(b"is ruled")
+            return run.testbeds[prober].output.count(b"is ruled")
 
         with anyio.move_on_after(60):
             while published_count() < count:
@@ -144,8 +144,8 @@
                 while published_count() == count_before:
                     await anyio.sleep(0.05)
         await anyio.sleep(0.5)
-        published = verdict_times(run.worlds[prober].output.decode(), "ruled")
-        for front_index, front in enumerate(run.worlds):
+        published = verdict_times(run.testbeds[prober].output.decode(), "ruled")
+        for front_index, front in enumerate(run.testbeds):
             if front_index != prober:
                 received = verdict_times(front.output.decode(), "heard")
                 delays += [received[key] - at for key, at in published.items() if key in received]
--- a/bench/limits_model.py
+++ b/bench/limits_model.py
@@ -94,10 +94,13 @@
     others += [i.CacheEntry(2000 + p, i.Lifecycle.READY, 0.0, 0, 0, 1, 4000.0) for p in range(2)]
     others.append(i.CacheEntry(3000, i.Lifecycle.READY, 0.0, 0, 0, 2, 4000.0))
     for front in range(arguments.fronts):
-        fleet.tell(front, i.CacheListUpdate(i.ListUpdateKind.CACHED, (cold_cache_entry(0.0), *others)))
+        fleet.send_event(front, i.CacheListUpdate(i.ListUpdateKind.CACHED, (cold_cache_entry(0.0), *others)))
         delay = 200.0 * random.random()
         restart_event = i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cold_cache_entry(COLD_START_MS),))
-        fleet.at(COLD_START_MS + delay, lambda front=front, starts=restart_event: fleet.tell(front, starts))  # type: ignore[misc]
+        fleet.schedule(
+            COLD_START_MS + delay,
+            lambda front=front, starts=restart_event: fleet.send_event(front, starts),  # type: ignore[misc]
+        )
     pull_numbers = [0] * arguments.fronts
 
     def send_pull(front: int, rate: float) -> None:
@@ -105,13 +108,13 @@
         object_id = random.randrange(1 << 32)
         fleet.pulled_at[front, pull_numbers[front]] = fleet.now
         size = TRANSFER_MS * front_settings.stream_rate
-        fleet.tell(front, i.Pull(pull_numbers[front], object_id, 0, 0, 2000.0, False, size, 3))
-        fleet.at(fleet.now + 1000.0 * random.expovariate(rate), lambda: send_pull(front, rate))
+        fleet.send_event(front, i.Pull(pull_numbers[front], object_id, 0, 0, 2000.0, False, size, 3))
+        fleet.schedule(fleet.now + 1000.0 * random.expovariate(rate), lambda: send_pull(front, rate))
 
     for front in range(arguments.fronts):
         # A tenth of the fronts has four fifths of the demand.
         rate = arguments.rate * (8.0 if front % 10 == 0 else 2.0 / 9.0)
-        fleet.at(
+        fleet.schedule(
             1.0 + 1000.0 * random.expovariate(rate),
             lambda front=front, rate=rate: send_pull(front, rate),  # type: ignore[misc]
         )
@@ -122,10 +125,10 @@
     coordinator: list[Coordinator | None] = [Coordinator(terms, 5)]
 
     def after_lag(run: Callable[[], None]) -> None:
-        fleet.at(fleet.now + arguments.lag * (0.5 + random.random()), run)
+        fleet.schedule(fleet.now + arguments.lag * (0.5 + random.random()), run)
 
     def send_report(front: int) -> None:
-        fleet.at(fleet.now + terms.refresh, lambda: send_report(front))
+        fleet.schedule(fleet.now + terms.refresh, lambda: send_report(front))
         demands = capacity_demand.slow_start_demands(fleet.fronts[front], fleet.now)
         share, name = front_shares[front], process_names[front]
         if COLD_CACHE not in demands:
@@ -141,10 +144,10 @@
     def send_lease(front: int) -> None:
         share, now = front_shares[front], fleet.now
         share_now, next_change = share.current_share(LIMIT_NAME, now), share.next_change_at(LIMIT_NAME, now)
-        fleet.tell(front, i.CapacityLease(COLD_CACHE, share_now, max(next_change - now, 0.0)))
+        fleet.send_event(front, i.CapacityLease(COLD_CACHE, share_now, max(next_change - now, 0.0)))
 
     def send_grants() -> None:
-        fleet.at(fleet.now + terms.refresh, send_grants)
+        fleet.schedule(fleet.now + terms.refresh, send_grants)
         if coordinator[0] is None:
             return
         for name, grant in coordinator[0].allocate(fleet.now).items():
@@ -164,7 +167,7 @@
             fleet.relays = {key: value for key, value in fleet.relays.items() if key[0] != front}
             pull_numbers[front] += 1_000_000
             front_shares[front], process_names[front] = FrontShares(terms), f"{front}.1"
-            fleet.tell(
+            fleet.send_event(
                 front, i.CacheListUpdate(i.ListUpdateKind.CACHED, (cold_cache_entry(COLD_START_MS), *others))
             )
 
@@ -173,12 +176,12 @@
         for name, grant in valid_grants.items():
             successor.record_existing_grant(name, grant, fleet.now)
 
-    fleet.at(MASS_RESTART_MS, restart_most_fronts)
+    fleet.schedule(MASS_RESTART_MS, restart_most_fronts)
     if is_shared:
-        fleet.at(MASS_RESTART_MS + NO_COORDINATOR_MS, elect_coordinator)
-        fleet.at(1.0, send_grants)
+        fleet.schedule(MASS_RESTART_MS + NO_COORDINATOR_MS, elect_coordinator)
+        fleet.schedule(1.0, send_grants)
         for front in range(arguments.fronts):
-            fleet.at(1.0 + terms.refresh * random.random(), lambda front=front: send_report(front))  # type: ignore[misc]
+            fleet.schedule(1.0 + terms.refresh * random.random(), lambda front=front: send_report(front))  # type: ignore[misc]
     fleet.play(arguments.seconds * 1000.0)
     return used_shares(fleet.cold_relays, front_settings.overload_window)
 
--- a/bench/loopback.py
+++ b/bench/loopback.py
@@ -16,7 +16,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from tests.drive import Caller, World, order, world
+from tests.drive import Caller, FrontTestbed, client_request, front_testbed
 from tests.standins.caches import Answer, Caches, Link, resp
 
 STREAM_RATE = 3.5  # KB per ms, as in the settings of the sample
@@ -112,7 +112,7 @@
 
 
 async def send_pulls(
-    pulls: list[tuple[float, str, str, float]], program: World
+    pulls: list[tuple[float, str, str, float]], program: FrontTestbed
 ) -> dict[str, tuple[float, float]]:
     """Send the pulls on schedule; return, by workload, the gain within the target latency and all gain."""
     earned, offered = dict.fromkeys(TERMS, 0.0), dict.fromkeys(TERMS, 0.0)
@@ -147,7 +147,7 @@
 class ConnectionPool:
     """Connections to one front, each with up to 30 open pulls."""
 
-    def __init__(self, program: World, tasks: TaskGroup) -> None:
+    def __init__(self, program: FrontTestbed, tasks: TaskGroup) -> None:
         self._program, self._tasks = program, tasks
         self._channels: list[Channel] = []
         self.open = 0
@@ -157,7 +157,7 @@
         self.open += 1
         channel = next((entry for entry in self._channels if len(entry[1]) < 30 and entry[2][1]), None)
         if channel is None:
-            channel = (await self._program.call(), {}, [0, 1])
+            channel = (await self._program.connect_client(), {}, [0, 1])
             self._channels.append(channel)
             self._tasks.start_soon(self._read, channel)
         caller, waiting, state = channel
@@ -171,7 +171,7 @@
             "ram": f"{kb:g}",
         }
         fields["limit"] = str(deadline)
-        frame = order(state[0], b"", nth="0", **fields)
+        frame = client_request(state[0], b"", nth="0", **fields)
         await caller.send(frame)
         await event.wait()
         self.open -= 1
@@ -206,8 +206,14 @@
     with SharedLinkCaches(3, sizes) as caches:
         at = {f"cache-{number + 1}": address for number, address in enumerate(caches.addresses)}
         operator = file if name == "and levels" else None
-        async with world(
-            folder, "cache-2", "cache-3", operator=operator, at=at, patience=seconds + 60.0, command=command
+        async with front_testbed(
+            folder,
+            "cache-2",
+            "cache-3",
+            operator=operator,
+            addresses=at,
+            timeout_s=seconds + 60.0,
+            command=command,
         ) as program:
             shares = await send_pulls(pulls, program)
             counters = await program.stop()
--- a/cometseam/ownership/log_sharing.py
+++ b/cometseam/ownership/log_sharing.py
@@ -1,4 +1,4 @@
-"""One front reads the change log for all: who reads it, and when the others poll themselves. Without I/O.
+"""One front reads the discovery event log for all: who reads it, when others poll themselves. Without I/O.
 
 The front that owns the task `list` polls the log as usual, and after each poll publishes its position with
 the latest events. The others pause their own polls while that update is fresh: while it has changed within
--- a/deploy/fleet.jsonnet
+++ b/deploy/fleet.jsonnet
@@ -19,7 +19,7 @@
     tasks: { probe: task, list: task, limits: task },
 
     probing: { interval: '500ms', within: '300ms', fails: 3, passes: 2, lasts: '6s' },
-    log: { bound: '4s' },  // the holder of `list` reads the change log for all
+    log: { bound: '4s' },  // the holder of `list` reads the discovery event log for all
     // The holder of `limits` shares out what cold caches bear, and how many relays all fronts have out at one.
     limits: { refresh: '500ms', lasts: '3s', relays: { caches: 400, parents: 800 } },
   },
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -1,4 +1,4 @@
-"""Test helpers: `Drive` passes events to one `Front`; `World` runs the real program among simulated peers."""
+"""Test helpers: `FrontDriver` passes events to a `Front`; `FrontTestbed` runs the program with its peers."""
 
 import json
 import re
@@ -70,13 +70,13 @@
 SERVERS = (*EDGES, *PARENTS, ORIGIN)
 
 
-def line(cache: int, state: i.Lifecycle = i.Lifecycle.READY, ready_at: float = 0.0) -> i.CacheEntry:
+def cache_entry(cache: int, state: i.Lifecycle = i.Lifecycle.READY, ready_at: float = 0.0) -> i.CacheEntry:
     """Return a list entry; the tens digit of the cache's number gives its kind, the last digit its cell."""
     kind_index = cache // 10 - 1
     return i.CacheEntry(cache, state, ready_at, cache % 10, 1 if kind_index == 0 else 0, kind_index, 8.0)
 
 
-class Drive:
+class FrontDriver:
     """A front, its simulated clock, and the trace of its decisions."""
 
     def __init__(self, settings: i.Settings = SETTINGS, caches: tuple[int, ...] = SERVERS) -> None:
@@ -84,9 +84,11 @@
         self.trace: list[str] = []
         self.relays: dict[int, int] = {}
         self.last: dict[int, i.Relay] = {}
-        self.tell(i.CacheListUpdate(i.ListUpdateKind.CACHED, tuple(line(cache) for cache in caches)))
+        self.send_event(
+            i.CacheListUpdate(i.ListUpdateKind.CACHED, tuple(cache_entry(cache) for cache in caches))
+        )
 
-    def tell(self, event: i.Event, after: float = 0.0) -> None:
+    def send_event(self, event: i.Event, after: float = 0.0) -> None:
         """Pass an event to the front `after` ms, and add all actions but timers to the trace."""
         self.now += after
         for action in self.front.handle(self.now, event):
@@ -103,10 +105,10 @@
             pull_id = getattr(action, "id", "-")
             self.trace.append(f"{self.now - 1000.0:g} pull {pull_id}: {entry}")
 
-    def pull(self, number: int, wanted: int = 5, workload: int = 0, after: float = 10.0,
+    def pull(self, number: int, object_id: int = 5, workload: int = 0, after: float = 10.0,
              part: int = 0) -> None:  # fmt: skip
         """Pass a client's pull of a part of an object."""
-        self.tell(i.Pull(number, wanted, part, workload, 2000.0, False, 500.0, 3), after)
+        self.send_event(i.Pull(number, object_id, part, workload, 2000.0, False, 500.0, 3), after)
 
     def end(self, number: int, outcome: i.Outcome = i.Outcome.OK, remark: i.Remark = i.Remark.HIT,
             after: float = 100.0, load: tuple[float, ...] = ()) -> None:  # fmt: skip
@@ -116,9 +118,9 @@
         relay_ended = i.RelayEnded(
             number, self.relays[number], relay.cache, outcome, remark, after, 0.0, is_served, load
         )
-        self.tell(relay_ended, after)
+        self.send_event(relay_ended, after)
 
-    def lack(self, number: int, load: tuple[float, ...] = ()) -> None:
+    def end_with_miss(self, number: int, load: tuple[float, ...] = ()) -> None:
         """End a cache lookup with a miss."""
         self.end(number, i.Outcome.MISS, i.Remark.NONE, after=1.0, load=load)
 
@@ -137,7 +139,7 @@
 
 
 @dataclass
-class Asked:
+class ReceivedCommand:
     """A command that a simulated cache received, and the connection it came over."""
 
     cache: "Cache"
@@ -146,7 +148,7 @@
     body: bytes = b""
 
     @property
-    def word(self) -> str:
+    def verb(self) -> str:
         return self.parts[0]
 
     @property
@@ -157,8 +159,8 @@
     def fields(self) -> dict[str, str]:
         return dict(item.split("=", 1) for item in self.parts[2].split(","))
 
-    async def answer(self, word: str, fields: str = "-", body: bytes = b"") -> None:
-        await self.stream.send(resp(self.id, word, fields, body))
+    async def answer(self, verb: str, fields: str = "-", body: bytes = b"") -> None:
+        await self.stream.send(resp(self.id, verb, fields, body))
 
 
 def resp(*parts: str | bytes) -> bytes:
@@ -167,16 +169,16 @@
     return b"*%d\r\n" % len(encoded) + b"".join(b"$%d\r\n%b\r\n" % (len(raw), raw) for raw in encoded)
 
 
-class News:
-    """Lets tasks wait until a condition holds; `tell` makes them check it again."""
+class Notifier:
+    """Lets tasks wait until a condition holds; `notify` makes them check it again."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         self._event.set()
 
-    async def until(self, condition: Callable[[], Any]) -> None:
+    async def wait_until(self, condition: Callable[[], Any]) -> None:
         while not condition():
             if self._event.is_set():
                 self._event = anyio.Event()
@@ -186,13 +188,13 @@
 class Cache:
     """A simulated cache: it records the commands that it receives; the test writes the answers.
 
-    `seen` counts commands that the test has taken, `doubted` keep-alive checks, `ended` closed connections.
+    `taken` counts commands that the test took, `keep_alive_checks` such checks, `ended` closed connections.
     """
 
-    def __init__(self, name: str, news: News) -> None:
-        self.name, self.news = name, news
-        self.asked: list[Asked] = []
-        self.seen = self.doubted = self.ended = 0
+    def __init__(self, name: str, notifier: Notifier) -> None:
+        self.name, self.notifier = name, notifier
+        self.commands: list[ReceivedCommand] = []
+        self.taken = self.keep_alive_checks = self.ended = 0
         self.alive = (
             False  # whether it answers keep-alive checks; if not, it is like a host that has vanished
         )
@@ -206,27 +208,29 @@
                 for _ in range(count):
                     size = int((await reader.receive_until(b"\r\n", 20))[1:])
                     parts.append((await reader.receive_exactly(size + 2))[:-2])
-                asked = Asked(self, stream, [raw.decode() for raw in parts[:3]], b"".join(parts[3:]))
-                if asked.word == "HELO":
-                    self.doubted += 1
+                asked = ReceivedCommand(
+                    self, stream, [raw.decode() for raw in parts[:3]], b"".join(parts[3:])
+                )
+                if asked.verb == "HELO":
+                    self.keep_alive_checks += 1
                     if self.alive:
                         await asked.answer("FIT")
                     continue
-                self.asked.append(asked)
-                self.news.tell()
+                self.commands.append(asked)
+                self.notifier.notify()
         except ENDS:
             await stream.aclose()
             self.ended += 1
-            self.news.tell()
+            self.notifier.notify()
 
-    async def next(self) -> Asked:
-        await self.news.until(lambda: len(self.asked) > self.seen)
-        self.seen += 1
-        return self.asked[self.seen - 1]
+    async def next(self) -> ReceivedCommand:
+        await self.notifier.wait_until(lambda: len(self.commands) > self.taken)
+        self.taken += 1
+        return self.commands[self.taken - 1]
 
 
 @dataclass
-class Got:
+class ReceivedFrame:
     """A frame received from the front."""
 
     type: int
@@ -249,7 +253,7 @@
     )
 
 
-def order(stream: int, body: bytes = b"", **changed: str | None) -> bytes:
+def client_request(stream: int, body: bytes = b"", **changed: str | None) -> bytes:
     """Return a client's request; a field changed to None is left out."""
     values: dict[str, str | None] = {
         "verb": "maps", "txn": f"{stream:016x}", "limit": "2500", "item": "7f3a9c21e0b4d655", "nth": "3",
@@ -269,18 +273,18 @@
     async def send(self, *raws: bytes) -> None:
         await self.stream.send(b"".join(raws))
 
-    async def next(self) -> Got:
+    async def next(self) -> ReceivedFrame:
         length, frame_type, stream = struct.unpack(">IBI", await self._reader.receive_exactly(9))
         payload = await self._reader.receive_exactly(length - 5) if length > 5 else b""
         if not payload:
-            return Got(frame_type, stream)
+            return ReceivedFrame(frame_type, stream)
         values, offset = {}, 2
         for _ in range(payload[1]):
             end = offset + 1 + payload[offset]
             size = int.from_bytes(payload[end : end + 2], "big")
             values[payload[offset + 1 : end].decode()] = payload[end + 2 : end + 2 + size].decode()
             offset = end + 2 + size
-        return Got(frame_type, stream, payload[0], values, payload[offset:])
+        return ReceivedFrame(frame_type, stream, payload[0], values, payload[offset:])
 
     async def ended(self) -> bool:
         """Wait for the end of the connection; return False if a frame comes first."""
@@ -291,20 +295,20 @@
         return False
 
 
-class World:
+class FrontTestbed:
     """The program as a process, with simulated peers for everything that it connects to."""
 
     def __init__(self) -> None:
         self.config = deepcopy(SAMPLE)
         self.caches: dict[str, Cache] = {}
-        self.log: list[dict[str, Any]] = []  # discovery events after those of the configuration
-        self.broken: list[bytes] = []  # answers of discovery to send instead, once each
+        self.events: list[dict[str, Any]] = []  # discovery events after those of the configuration
+        self.queued_answers: list[bytes] = []  # answers of discovery to send instead, once each
         self.polled: list[int] = []  # event number from which each poll asked
-        self.news = News()
+        self.notifier = Notifier()
         self.environment: dict[str, str] = {}
         self.command = [sys.executable, "-m", "cometseam"]
         self.listens = b"listens"  # text in the program's log once it accepts connections
-        self.discover = self.change_log  # answers polls of discovery
+        self.discovery_handler = self.serve_discovery  # answers polls of discovery
         self.before_start: Callable[[], Awaitable[None]] = anyio.lowlevel.checkpoint
         self.process: Process
         self.path: Path
@@ -317,61 +321,65 @@
         self._tasks.start_soon(listener.serve, serve)
         return f"127.0.0.1:{listener.extra(SocketAttribute.local_port)}"
 
-    async def add(self, name: str, like: str | None = None, at: str | None = None) -> Cache:
-        """Simulate a cache of the sample, or one more like `like`; `at` is the address of another server."""
+    async def add(self, name: str, like: str | None = None, address: str | None = None) -> Cache:
+        """Simulate a cache of the sample, or one more like `like`; `address` is that of another server."""
         entries = self.config["known"]["results"][0]["fleet"]["endpoints"]
         if like is not None:
             entries.append({**next(line for line in entries if line["name"] == like), "name": name})
         line = next(line for line in entries if line["name"] == name)
-        cache = self.caches[name] = Cache(name, self.news)
-        line["address"] = at or await self.listen(cache.serve)
+        cache = self.caches[name] = Cache(name, self.notifier)
+        line["address"] = address or await self.listen(cache.serve)
         return cache
 
-    def line(self, name: str, /, **changed: Any) -> dict[str, Any]:
+    def endpoint_entry(self, name: str, /, **changed: Any) -> dict[str, Any]:
         """Return a cache's entry in the endpoint list, with changes."""
         entries = self.config["known"]["results"][0]["fleet"]["endpoints"]
         return {**next(line for line in entries if line["name"] == name), **changed}
 
-    def tell(self, **event: Any) -> None:
+    def add_event(self, **event: Any) -> None:
         """Add an event to discovery."""
-        self.log.append({"seq": len(self.log) + 2, **event})
-        self.news.tell()
+        self.events.append({"seq": len(self.events) + 2, **event})
+        self.notifier.notify()
 
-    async def polled_from(self, since: int) -> None:
+    async def wait_for_poll_since(self, since: int) -> None:
         """Wait until the front polls for what follows an event, so it has received that event."""
-        await self.news.until(lambda: any(polled >= since for polled in self.polled))
+        await self.notifier.wait_until(lambda: any(polled >= since for polled in self.polled))
 
-    async def change_log(self, stream: SocketStream) -> None:
+    async def serve_discovery(self, stream: SocketStream) -> None:
         reader = BufferedByteReceiveStream(stream)
         try:
             while True:
                 head = (await reader.receive_until(b"\r\n\r\n", 4096)).decode()
                 since = int(head.split("since=")[1].split("&")[0])
                 self.polled.append(since)
-                self.news.tell()
+                self.notifier.notify()
                 with anyio.move_on_after(int(head.split("timeout=")[1].split()[0]) / 1000.0):
-                    await self.news.until(lambda: self.broken or len(self.log) + 1 > since)  # noqa: B023
-                new = [event for event in self.log if event["seq"] > since]
-                answer = json.dumps({"seq": len(self.log) + 1, "results": new}).encode()
-                body = self.broken.pop(0) if self.broken else answer
+                    await self.notifier.wait_until(
+                        lambda: self.queued_answers or len(self.events) + 1 > since  # noqa: B023
+                    )
+                new = [event for event in self.events if event["seq"] > since]
+                answer = json.dumps({"seq": len(self.events) + 1, "results": new}).encode()
+                body = self.queued_answers.pop(0) if self.queued_answers else answer
                 await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         except ENDS:
             await stream.aclose()
 
-    async def break_log(self, *texts: bytes) -> None:
+    async def send_poll_answers(self, *texts: bytes) -> None:
         """Send these bodies as the next answers to polls, and wait until all are sent."""
-        self.broken += texts
-        self.news.tell()
-        await self.news.until(lambda: not self.broken)
+        self.queued_answers += texts
+        self.notifier.notify()
+        await self.notifier.wait_until(lambda: not self.queued_answers)
 
-    async def first(self) -> Asked:
+    async def next_command(self) -> ReceivedCommand:
         """Return the next command that any of the caches receives."""
-        await self.news.until(lambda: any(len(cache.asked) > cache.seen for cache in self.caches.values()))
-        return await next(c for c in self.caches.values() if len(c.asked) > c.seen).next()
+        await self.notifier.wait_until(
+            lambda: any(len(cache.commands) > cache.taken for cache in self.caches.values())
+        )
+        return await next(c for c in self.caches.values() if len(c.commands) > c.taken).next()
 
     async def start(self, folder: Path) -> None:
         """Start the program and wait until it is ready."""
-        self.config["changelog"] = await self.listen(self.discover)
+        self.config["changelog"] = await self.listen(self.discovery_handler)
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.config["listen"] = f"127.0.0.1:{listener.extra(SocketAttribute.local_port)}"
         await listener.aclose()
@@ -390,19 +398,19 @@
         count_before = self.output.count(marker)
         self.path.write_text(json.dumps(self.config) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
-        await self.news.until(lambda: self.output.count(marker) > count_before)
+        await self.notifier.wait_until(lambda: self.output.count(marker) > count_before)
 
     async def _read_log(self) -> None:
         assert self.process.stderr is not None
         async for text in self.process.stderr:
             self.output += text
-            self.news.tell()
+            self.notifier.notify()
 
     async def logged(self, text: bytes) -> None:
         """Wait until the program's log holds this text and the end of its line."""
-        await self.news.until(lambda: b"\n" in self.output.partition(text)[2])
+        await self.notifier.wait_until(lambda: b"\n" in self.output.partition(text)[2])
 
-    async def call(self) -> Caller:
+    async def connect_client(self) -> Caller:
         """Connect as a client."""
         host, port = self.config["listen"].split(":")
         return Caller(await anyio.connect_tcp(host, int(port)))
@@ -422,35 +430,36 @@
 
 
 @asynccontextmanager
-async def world(
+async def front_testbed(
     folder: Path, *more: str, operator: Path | None = None, log: str = "text", listens: bytes = b"listens",
-    patience: float = DEFAULT_TIMEOUT_S, at: dict[str, str] | None = None, command: list[str] | None = None,
+    timeout_s: float = DEFAULT_TIMEOUT_S, addresses: dict[str, str] | None = None,
+    command: list[str] | None = None,
     environment: dict[str, str] | None = None, name: str = "front-1",
-    prepare: Callable[[World], None] | None = None, **limits: int,
-) -> AsyncIterator[World]:  # fmt: skip
+    prepare: Callable[[FrontTestbed], None] | None = None, **limits: int,
+) -> AsyncIterator[FrontTestbed]:  # fmt: skip
     """Run the program among simulated caches: those of the sample, and `more` like its first."""
-    here = World()
-    here.config["limits"].update(limits)
-    here.config["name"] = name
+    testbed = FrontTestbed()
+    testbed.config["limits"].update(limits)
+    testbed.config["name"] = name
     if prepare is not None:
-        prepare(here)
-    here.listens = listens
-    here.command = command or here.command
-    here.environment = {"COMETSEAM_LOG_FORMAT": log, **(environment or {})}
+        prepare(testbed)
+    testbed.listens = listens
+    testbed.command = command or testbed.command
+    testbed.environment = {"COMETSEAM_LOG_FORMAT": log, **(environment or {})}
     if operator is not None:
-        here.environment["COMETSEAM_OPERATOR"] = str(operator)
-    with anyio.fail_after(patience):
+        testbed.environment["COMETSEAM_OPERATOR"] = str(operator)
+    with anyio.fail_after(timeout_s):
         async with anyio.create_task_group() as tasks:
-            here._tasks = tasks
+            testbed._tasks = tasks
             for name in ("cache-1", "parent-1", "origin-1"):
-                await here.add(name, at=(at or {}).get(name))
+                await testbed.add(name, address=(addresses or {}).get(name))
             for name in more:
-                await here.add(name, like="cache-1", at=(at or {}).get(name))
-            await here.start(folder)
+                await testbed.add(name, like="cache-1", address=(addresses or {}).get(name))
+            await testbed.start(folder)
             try:
-                yield here
+                yield testbed
             finally:
-                if here.process.returncode is None:
-                    here.process.kill()
-                await here.process.wait()
+                if testbed.process.returncode is None:
+                    testbed.process.kill()
+                await testbed.process.wait()
                 tasks.cancel_scope.cancel()
--- a/tests/standins/caches.py
+++ b/tests/standins/caches.py
@@ -16,7 +16,7 @@
 from itertools import count
 
 Answer = tuple[float | None, str, str, bytes]  # delay in s (None: never), word, fields, body
-Behave = Callable[[int, str, dict[str, str], int], Answer]  # cache, id, fields, relays so far
+Behaviour = Callable[[int, str, dict[str, str], int], Answer]  # cache, id, fields, relays so far
 
 
 @dataclass
@@ -56,7 +56,7 @@
 class Caches:
     """A few simulated caches; `two_out` holds each case of a pull with two relays in flight."""
 
-    def __init__(self, number: int, behave: Behave) -> None:
+    def __init__(self, number: int, behave: Behaviour) -> None:
         self.behave = behave
         self.addresses: list[str] = []
         self.two_out: list[str] = []
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -12,7 +12,7 @@
 from anyio.abc import SocketStream
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from tests.drive import ENDS, News
+from tests.drive import ENDS, Notifier
 
 
 @dataclass
@@ -31,7 +31,7 @@
 class Discovery:
     """Discovery as one front sees it; events are numbered from 2, as 1 is the endpoint list of the start."""
 
-    news: News = field(default_factory=News)
+    notifier: Notifier = field(default_factory=Notifier)
     events: list[dict[str, Any]] = field(default_factory=list)
     polls: list[Poll] = field(default_factory=list)
     delay: float = 0.0  # s by which each answer is delayed
@@ -40,16 +40,16 @@
     connections: int = 0
     gate: anyio.Event | None = None  # holds all answers until it is set
 
-    def tell(self, **event: Any) -> int:
+    def add_event(self, **event: Any) -> int:
         """Add an event and return its number."""
         self.events.append({"seq": len(self.events) + 2, **event})
-        self.news.tell()
+        self.notifier.notify()
         return len(self.events) + 1
 
     def drain(self, line: dict[str, Any]) -> int:
         """Add the event that an endpoint drains, and return its number."""
         changed = [line | {"status": "leaving"}]
-        return self.tell(fleet={"index": len(self.events) + 2, "snapshot": False, "endpoints": changed})
+        return self.add_event(fleet={"index": len(self.events) + 2, "snapshot": False, "endpoints": changed})
 
     def notified_at(self, event: int) -> float | None:
         """Return when the first answer with an event was written completely (monotonic seconds), or None."""
@@ -68,7 +68,7 @@
                 timeout = int(head.split("timeout=")[1].split()[0]) / 1000.0
                 poll = Poll(number, since, time.monotonic(), timeout)
                 self.polls.append(poll)
-                self.news.tell()
+                self.notifier.notify()
                 if number in self.ends:
                     await stream.aclose()
                     return
@@ -80,7 +80,7 @@
 
     async def _answer_poll(self, stream: SocketStream, poll: Poll) -> None:
         with anyio.move_on_after(poll.hold):
-            await self.news.until(lambda: len(self.events) + 1 > poll.since)
+            await self.notifier.wait_until(lambda: len(self.events) + 1 > poll.since)
         last = len(self.events) + 1
         new_events = [event for event in self.events if event["seq"] > poll.since]
         if self.gate is not None:
@@ -89,4 +89,4 @@
         body = json.dumps({"seq": last, "results": new_events}).encode()
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         poll.answered_at, poll.told = time.monotonic(), last
-        self.news.tell()
+        self.notifier.notify()
--- a/tests/standins/fronts.py
+++ b/tests/standins/fronts.py
@@ -16,8 +16,8 @@
 import anyio
 from anyio.abc import Process
 
-from tests.drive import World, world
-from tests.standins.caches import Answer, Behave, Caches
+from tests.drive import FrontTestbed, front_testbed
+from tests.standins.caches import Answer, Behaviour, Caches
 from tests.standins.faults import Proxy
 from tests.standins.fleet import start_etcd
 
@@ -46,12 +46,12 @@
     return 0.75 * 2.5 * share * 8.0 * WINDOW_S * 1000.0 / 250.0
 
 
-def over_limit(here: "Fronts") -> float:
+def over_limit(running_fronts: "Fronts") -> float:
     """Return the largest load of cache-2 in a window as a fraction of its limit.
 
     One relay is subtracted, since the times of both ends are measured separately.
     """
-    return max((share - 1.0 / cold_limit(at) for at, share in here.used()), default=0.0)
+    return max((share - 1.0 / cold_limit(at) for at, share in running_fronts.used()), default=0.0)
 
 
 @dataclass
@@ -62,7 +62,7 @@
     etcd: Process
     port: int
     wal: str
-    worlds: list[World] = field(default_factory=list)
+    testbeds: list[FrontTestbed] = field(default_factory=list)
     links: list[Proxy] = field(default_factory=list)
     stack: AsyncExitStack = field(default_factory=AsyncExitStack)
     folders: list[Path] = field(default_factory=list)
@@ -98,22 +98,22 @@
     async def restart(self, indices: list[int]) -> None:
         """Kill fronts at the same time and restart them, each with its own configuration."""
         for index in indices:
-            self.worlds[index].process.kill()
+            self.testbeds[index].process.kill()
         for index in indices:
-            await self.worlds[index].process.wait()
-            self.worlds[index].output = b""
-            await self.worlds[index].start(self.folders[index])
+            await self.testbeds[index].process.wait()
+            self.testbeds[index].output = b""
+            await self.testbeds[index].start(self.folders[index])
 
     def owner(self, task: str) -> int | None:
         """Return the index of the front that owns a task by its own log; None where none does."""
         owners = []
-        for index, here in enumerate(self.worlds):
-            states = re.findall(STATE_PATTERN % task.encode(), here.output)
-            if states and states[-1][0] == b"owner" and here.process.returncode is None:
+        for index, running_fronts in enumerate(self.testbeds):
+            states = re.findall(STATE_PATTERN % task.encode(), running_fronts.output)
+            if states and states[-1][0] == b"owner" and running_fronts.process.returncode is None:
                 owners.append((int(states[-1][1]), index))
         return max(owners)[1] if owners else None
 
-    async def probing(self, excluded: int | None = None, task: str = "probe") -> int:
+    async def wait_for_owner(self, excluded: int | None = None, task: str = "probe") -> int:
         """Wait until a front other than `excluded` owns a task; return its index."""
         with anyio.fail_after(15):
             while (index := self.owner(task)) is None or index == excluded:
@@ -128,7 +128,7 @@
 @asynccontextmanager
 async def fronts(
     count: int, names: tuple[str, ...], lasts_ms: int = 2000, limits: bool = False, expected: int = 1,
-    relays: int = 0, budget: int = 0, behave: Behave = answer_at_once, rates: tuple[float, ...] = (),
+    relays: int = 0, budget: int = 0, behave: Behaviour = answer_at_once, rates: tuple[float, ...] = (),
 ) -> AsyncIterator[Fronts]:  # fmt: skip
     """Run `count` fronts on the same caches, `cache-1` and `names`; each is configured for `expected` fronts.
 
@@ -138,7 +138,7 @@
     budget_section = BUDGET_SECTION % budget if budget else ""
     cap = f", relays: {{ caches: {relays} }}" if relays else ""
 
-    def prepare(front: World) -> None:
+    def prepare(front: FrontTestbed) -> None:
         settings = front.config["settings"]
         settings["balancers"], settings["familyInfo"]["instancesByZone"] = expected, [0, 0, expected]
         for grade in settings["grades"] if relays else ():
@@ -147,14 +147,14 @@
     with tempfile.TemporaryDirectory() as folder, Caches(1 + len(names), behave) as caches:
         wal = str(Path(folder) / "etcd.wal")
         etcd, port = await start_etcd(wal)
-        here = Fronts(caches, etcd, port, wal)
+        running_fronts = Fronts(caches, etcd, port, wal)
         addresses = dict(zip(("cache-1", *names), caches.addresses, strict=True))
         try:
-            async with anyio.create_task_group() as group, here.stack:
+            async with anyio.create_task_group() as group, running_fronts.stack:
                 for number in range(count):
                     link = Proxy(port)
                     await link.start(group)
-                    here.links.append(link)
+                    running_fronts.links.append(link)
                     front_folder = Path(folder) / f"front-{number}"
                     front_folder.mkdir()
                     operator_file = front_folder / "operator.jsonnet"
@@ -166,13 +166,13 @@
                             f"(import 'operator.jsonnet') + {limits_section}{budget_section}"
                         )
                         operator_file = limits_file
-                    front = await here.stack.enter_async_context(
-                        world(
+                    front = await running_fronts.stack.enter_async_context(
+                        front_testbed(
                             front_folder,
                             *names,
                             operator=operator_file,
-                            at=addresses,
-                            patience=90.0,
+                            addresses=addresses,
+                            timeout_s=90.0,
                             name=f"front-{number}",
                             prepare=prepare,
                             command=_skewed_command(rates[number]) if rates else None,
@@ -180,13 +180,17 @@
                     )
                     for cache in front.caches.values():  # the front's own parent and origin
                         cache.alive = True
-                    here.worlds.append(front)
-                    here.folders.append(front_folder)
-                yield here
-                await here.stack.aclose()
+                    running_fronts.testbeds.append(front)
+                    running_fronts.folders.append(front_folder)
+                yield running_fronts
+                await running_fronts.stack.aclose()
                 group.cancel_scope.cancel()
         finally:
-            for process in [*(front.process for front in here.worlds), here.etcd, *here.extra_members]:
+            for process in [
+                *(front.process for front in running_fronts.testbeds),
+                running_fronts.etcd,
+                *running_fronts.extra_members,
+            ]:
                 if process.returncode is None:
                     os.kill(process.pid, signal.SIGCONT)
                     process.kill()
--- a/tests/standins/scripted.py
+++ b/tests/standins/scripted.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Said:
+class ScriptedReply:
     """A cache's reply to a relay, after `delay` ms; None means that it never answers."""
 
     delay: float | None
@@ -26,7 +26,7 @@
     remark: i.Remark = i.Remark.HIT
 
 
-Behave = Callable[[float, i.Relay, i.Pull, Random], Said]
+Behaviour = Callable[[float, i.Relay, i.Pull, Random], ScriptedReply]
 
 
 @dataclass
@@ -44,17 +44,19 @@
     in_flight: int | None = None  # number of the relay in flight
 
 
-class World:
+class FrontSimulation:
     """One front among scripted caches."""
 
-    def __init__(self, settings: i.Settings, listed: tuple[i.CacheEntry, ...], behave: Behave, seed: int = 1):
+    def __init__(
+        self, settings: i.Settings, listed: tuple[i.CacheEntry, ...], behave: Behaviour, seed: int = 1
+    ):
         self.settings, self.behave, self.random = settings, behave, Random(seed)
         self.front = Front(seed, settings)
         self.cells = {entry.cache: entry.cell for entry in listed}
         self.now = 0.0
         self._sequence = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self.stories: dict[int, PullRecord] = {}
+        self.pull_records: dict[int, PullRecord] = {}
         self.breaches: list[str] = []
         self.further = 0  # relays sent after a failed relay of the same pull
         self.first = 0
@@ -62,9 +64,9 @@
             tuple[float, bool]
         ] = []  # of each first or further relay: time, whether it is a further one
         self._failed_relays: dict[int, int] = {}
-        self.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, listed))
+        self.send_event(i.CacheListUpdate(i.ListUpdateKind.FULL, listed))
 
-    def at(self, due: float, run: Callable[[], None]) -> None:
+    def schedule(self, due: float, run: Callable[[], None]) -> None:
         """Schedule a call."""
         heappush(self._events, (due, next(self._sequence), run))
 
@@ -83,20 +85,20 @@
             target_at = self.now + min(
                 rules.target_latency + rules.target_latency_factor * transfer_time, pull.time_left
             )
-            self.stories[pull.id] = PullRecord(pull, self.now, self.now + pull.time_left, target_at)
-            self.tell(pull)
+            self.pull_records[pull.id] = PullRecord(pull, self.now, self.now + pull.time_left, target_at)
+            self.send_event(pull)
 
-        self.at(due, start)
+        self.schedule(due, start)
 
-    def tell(self, event: i.Event) -> None:
+    def send_event(self, event: i.Event) -> None:
         """Pass an event to the front and carry out its actions."""
         for action in self.front.handle(self.now, event):
             match action:
                 case i.Relay():
                     self._start_relay(action)
                 case i.Recall():
-                    story = self.stories[action.id]
-                    if story.in_flight == action.relay:
+                    record = self.pull_records[action.id]
+                    if record.in_flight == action.relay:
                         self._cancel_relay(action)
                 case i.StartTimer():
                     self._start_timer(action)
@@ -106,36 +108,39 @@
                     self._record_final(action.id, "errored")
 
     def _cancel_relay(self, recall: i.Recall) -> None:
-        self.at(self.now, lambda: self._end_relay(recall.id, recall.relay, Said(0.0, i.Outcome.CANCELLED)))
+        self.schedule(
+            self.now,
+            lambda: self._end_relay(recall.id, recall.relay, ScriptedReply(0.0, i.Outcome.CANCELLED)),
+        )
 
     def _start_timer(self, timer: i.StartTimer) -> None:
-        self.at(self.now + timer.delay, lambda: self.tell(i.TimerFired(timer.timer_id)))
+        self.schedule(self.now + timer.delay, lambda: self.send_event(i.TimerFired(timer.timer_id)))
 
     def _add_breach(self, pull: int, what: str) -> None:
         self.breaches.append(f"{self.now:g} pull {pull}: {what}")
 
     def _record_final(self, pull: int, kind: str) -> None:
-        story = self.stories[pull]
-        if story.finals:
-            self._add_breach(pull, f"{kind} after {story.finals[0][1]}")
-        if self.now > story.deadline + 1e-6:
+        record = self.pull_records[pull]
+        if record.finals:
+            self._add_breach(pull, f"{kind} after {record.finals[0][1]}")
+        if self.now > record.deadline + 1e-6:
             self._add_breach(pull, f"{kind} past its deadline")
-        rules = self.settings.workloads[story.pull.workload]
-        if kind == "shed" and story.ran and rules.idempotency is i.Idempotency.ONCE_ONLY:
+        rules = self.settings.workloads[record.pull.workload]
+        if kind == "shed" and record.ran and rules.idempotency is i.Idempotency.ONCE_ONLY:
             self._add_breach(pull, "shed though it may have run")
-        story.finals.append((self.now, kind))
+        record.finals.append((self.now, kind))
 
     def _start_relay(self, relay: i.Relay) -> None:
-        story = self.stories[relay.id]
-        if story.in_flight is not None:
+        record = self.pull_records[relay.id]
+        if record.in_flight is not None:
             self._add_breach(relay.id, "two relays in flight")
-        if story.finals:
+        if record.finals:
             self._add_breach(relay.id, "a relay after its answer")
-        if self.now >= story.deadline or self.now + relay.timeout > story.deadline + 1e-6:
+        if self.now >= record.deadline or self.now + relay.timeout > record.deadline + 1e-6:
             self._add_breach(relay.id, "a relay past its deadline")
-        rules = self.settings.workloads[story.pull.workload]
-        if story.ran:
-            at, first_cache = story.ran[0]
+        rules = self.settings.workloads[record.pull.workload]
+        if record.ran:
+            at, first_cache = record.ran[0]
             if rules.idempotency is i.Idempotency.ONCE_ONLY:
                 self._add_breach(relay.id, "a non-idempotent pull that may have run is sent again")
             if rules.idempotency is i.Idempotency.TAGGED:
@@ -146,46 +151,46 @@
                     and self.cells[relay.cache] != self.cells[first_cache]
                 ):
                     self._add_breach(relay.id, "a pull with idempotency key is sent outside its cell")
-        number = len(story.sent)
+        number = len(record.sent)
         failed = self._failed_relays.get(relay.id, 0) > 0
         if failed or number == 0:
             self.sent_at.append((self.now, failed))
             self.further += failed
             self.first += not failed
-        story.sent.append((self.now, relay))
-        story.in_flight = number
-        reply = self.behave(self.now, relay, story.pull, self.random)
+        record.sent.append((self.now, relay))
+        record.in_flight = number
+        reply = self.behave(self.now, relay, record.pull, self.random)
         if reply.delay is None or reply.delay > relay.timeout:
-            timed_out = Said(0.0, i.Outcome.TIMEOUT)
-            self.at(self.now + relay.timeout, lambda: self._end_relay(relay.id, number, timed_out))
+            timed_out = ScriptedReply(0.0, i.Outcome.TIMEOUT)
+            self.schedule(self.now + relay.timeout, lambda: self._end_relay(relay.id, number, timed_out))
         else:
-            self.at(self.now + reply.delay, lambda: self._end_relay(relay.id, number, reply))
+            self.schedule(self.now + reply.delay, lambda: self._end_relay(relay.id, number, reply))
 
-    def _end_relay(self, pull: int, number: int, reply: Said) -> None:
-        story = self.stories[pull]
-        if story.in_flight != number:
+    def _end_relay(self, pull: int, number: int, reply: ScriptedReply) -> None:
+        record = self.pull_records[pull]
+        if record.in_flight != number:
             return  # it was cancelled; the late reply is dropped
-        story.in_flight = None
-        sent, relay = story.sent[number]
+        record.in_flight = None
+        sent, relay = record.sent[number]
         if reply.outcome in MAY_HAVE_RUN:
-            story.ran.append((sent, relay.cache))
+            record.ran.append((sent, relay.cache))
         is_miss = reply.outcome is i.Outcome.MISS and relay.source == relay.cache
-        story.cache_misses += is_miss
+        record.cache_misses += is_miss
         if reply.outcome is not i.Outcome.OK and not is_miss:
             self._failed_relays[pull] = self._failed_relays.get(pull, 0) + 1
-        served = reply.outcome is i.Outcome.OK and not story.finals
+        served = reply.outcome is i.Outcome.OK and not record.finals
         if served:
             self._record_final(pull, "finished")
-        self.tell(
+        self.send_event(
             i.RelayEnded(
                 pull, number, relay.cache, reply.outcome, reply.remark, self.now - sent, 0.0, served, ()
             )
         )
 
-    def judge(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return all breaches of a rule, with pulls that have no answer or that the front still holds."""
         unanswered = [
-            f"pull {number}: no answer" for number, story in self.stories.items() if not story.finals
+            f"pull {number}: no answer" for number, record in self.pull_records.items() if not record.finals
         ]
         still_pending = [f"pull {number}: still pending in the front" for number in self.front.pending]
         return [*self.breaches, *unanswered, *still_pending]
@@ -193,9 +198,13 @@
     def gain(self) -> float:
         """Return the gain of pulls answered within their target latency, as a share of all pulls' gain."""
         offered = earned = 0.0
-        for story in self.stories.values():
-            gain = self.settings.workloads[story.pull.workload].gain
+        for record in self.pull_records.values():
+            gain = self.settings.workloads[record.pull.workload].gain
             offered += gain
-            if story.finals and story.finals[0][1] == "finished" and story.finals[0][0] <= story.target_at:
+            if (
+                record.finals
+                and record.finals[0][1] == "finished"
+                and record.finals[0][0] <= record.target_at
+            ):
                 earned += gain
         return earned / offered
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -32,7 +32,7 @@
 from cometseam.transport.clock import Clock, Timers
 from cometseam.transport.peer import Channel, Peer
 from cometseam.transport.resources import ProcessResources
-from tests.drive import SAMPLE, News, resp
+from tests.drive import SAMPLE, Notifier, resp
 
 pytestmark = pytest.mark.anyio
 CONFIG: Config = decode(Section(SAMPLE), Section({}))
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.answers: list[str] = []
         self.gone: set[int] = set()  # streams whose answers it no longer waits for
-        self.news = News()
+        self.notifier = Notifier()
 
     def answer_served(self, stream: int, is_not_modified: bool, body: object) -> None:
         self._answer(f"{stream} served")
@@ -73,11 +73,11 @@
 
     def _answer(self, text: str) -> None:
         self.answers.append(text)
-        self.news.tell()
+        self.notifier.notify()
 
     async def until(self, count: int) -> list[str]:
         """Wait for `count` answers and return all."""
-        await self.news.until(lambda: len(self.answers) >= count)
+        await self.notifier.wait_until(lambda: len(self.answers) >= count)
         return self.answers
 
 
@@ -180,13 +180,13 @@
 )
 async def test_an_unsent_relay_is_withdrawn_at_a_purge_or_a_drain(change: DiscoveryEvent) -> None:
     ends: list[i.RelayEnded] = []
-    news = News()
+    notifier = Notifier()
 
     class RecordingFront(Front):
         def handle(self, now: float, event: i.Event) -> list[i.Action]:
             if isinstance(event, i.RelayEnded):
                 ends.append(event)
-                news.tell()
+                notifier.notify()
             return super().handle(now, event)
 
     actor, caller = make_router(RecordingFront(1, CONFIG.settings)), Caller()
@@ -197,7 +197,7 @@
         # The peer does not run between the two, so its relay still waits for a connection at the change.
         actor._handle(RequestReceived(cast(Client, caller), 1, order(), actor._resources.clock.now()))
         actor.apply_changes([change])
-        await news.until(lambda: ends)
+        await notifier.wait_until(lambda: ends)
         assert ends[0].outcome is i.Outcome.NOT_SENT
 
     await run_actor(actor, test)
@@ -215,14 +215,14 @@
 
     monkeypatch.setattr(Channel, "_connect", connect_or_hang)
     ends: list[AttemptEnded] = []
-    news = News()
+    notifier = Notifier()
     resources = make_resources()
     peers = []
     for address in (("127.0.0.1", HANGING_PORT), ("127.0.0.1", 1)):
 
         def report(end: AttemptEnded) -> None:
             ends.append(end)
-            news.tell()
+            notifier.notify()
 
         peers.append(Peer("p", address, resources, report, Mailbox(2)))
     command = Command("0" * 16, "maps", "7" * 16, 0, "", 0, 0.0, False, False, False, False, "")
@@ -234,23 +234,23 @@
                 assert peer.mailbox.offer(attempt)
                 tasks.start_soon(peer.run)
             tasks.start_soon(resources.timers.run)
-            await news.until(lambda: len(ends) == 1)
+            await notifier.wait_until(lambda: len(ends) == 1)
             # The refused connection is reported at once.
             assert ends[0].attempt is attempts[1] and ends[0].reason is EndReason.UNCONNECTED
             assert resources.clock.now() - started_at < CONFIG.links.connect_timeout
             peers[0].mailbox.push(GiveUp(attempts[0]))
-            await news.until(lambda: len(ends) == 2)
+            await notifier.wait_until(lambda: len(ends) == 2)
             assert ends[1].attempt is attempts[0] and ends[1].reason is EndReason.UNSENT
             tasks.cancel_scope.cancel()
 
 
 async def test_a_relay_to_a_peer_that_reads_nothing_ends_as_never_run() -> None:
     ends: list[AttemptEnded] = []
-    news = News()
+    notifier = Notifier()
 
     def report(end: AttemptEnded) -> None:
         ends.append(end)
-        news.tell()
+        notifier.notify()
 
     listener, resources = socket.create_server(("127.0.0.1", 0)), make_resources()
     peer = Peer("p", listener.getsockname(), resources, report, Mailbox(2))
@@ -261,7 +261,7 @@
             tasks.start_soon(peer.run)
             tasks.start_soon(resources.timers.run)
             assert peer.mailbox.offer(Attempt(1, 0, command, [memoryview(bytes(1 << 24))], now, now + 200.0))
-            await news.until(lambda: ends)
+            await notifier.wait_until(lambda: ends)
             assert ends[0].reason is EndReason.UNCONNECTED and peer.is_idle
             tasks.cancel_scope.cancel()
     listener.close()
@@ -269,11 +269,11 @@
 
 async def test_an_attempt_not_fully_written_when_its_connection_breaks_uses_another() -> None:
     ends: list[AttemptEnded] = []
-    news, resources, size, connections = News(), make_resources(), 1 << 24, 0
+    notifier, resources, size, connections = Notifier(), make_resources(), 1 << 24, 0
 
     def report(end: AttemptEnded) -> None:
         ends.append(end)
-        news.tell()
+        notifier.notify()
 
     async def serve(stream: SocketStream) -> None:
         nonlocal connections
@@ -297,7 +297,7 @@
                 tasks.start_soon(run_task)
             tasks.start_soon(listener.serve, serve)
             assert peer.mailbox.offer(Attempt(1, 0, command, [memoryview(bytes(size))], now, now + 9000.0))
-            await news.until(lambda: ends)
+            await notifier.wait_until(lambda: ends)
             assert ends[0].reason is EndReason.ANSWERED and connections == 2
             tasks.cancel_scope.cancel()
 
@@ -319,13 +319,13 @@
 
 async def test_the_module_receives_the_event_loop_lag() -> None:
     lag_events: list[i.LoopLagged] = []
-    news = News()
+    notifier = Notifier()
 
     class RecordingFront(Front):
         def handle(self, now: float, event: i.Event) -> list[i.Action]:
             if isinstance(event, i.LoopLagged):
                 lag_events.append(event)
-                news.tell()
+                notifier.notify()
             return super().handle(now, event)
 
     actor = make_router(RecordingFront(1, CONFIG.settings))
@@ -335,7 +335,7 @@
             tasks.start_soon(_sample, actor._resources.clock, actor)
             await anyio.lowlevel.checkpoint()
             time.sleep(0.2)  # blocks the event loop
-            await news.until(lambda: any(event.lag >= 100.0 for event in lag_events))
+            await notifier.wait_until(lambda: any(event.lag >= 100.0 for event in lag_events))
             tasks.cancel_scope.cancel()
 
     await run_actor(actor, test)
@@ -367,12 +367,12 @@
 
 async def test_timers_run_in_order_of_time_and_cancelled_ones_do_not_run() -> None:
     clock = Clock()
-    timers, calls, news = Timers(clock), list[str](), News()
+    timers, calls, notifier = Timers(clock), list[str](), Notifier()
 
     def record_as(text: str) -> Callable[[], None]:
         def run() -> None:
             calls.append(text)
-            news.tell()
+            notifier.notify()
 
         return run
 
@@ -385,7 +385,7 @@
             await anyio.lowlevel.checkpoint()
             timers.call_at(now + 10.0, record_as("sooner"))
             timers.call_at(now + 15.0, lambda: calls.remove("it is not there"))
-            await news.until(lambda: len(calls) == 2)
+            await notifier.wait_until(lambda: len(calls) == 2)
             tasks.cancel_scope.cancel()
     assert calls == ["sooner", "later"]
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -17,7 +17,7 @@
 from cometseam.protocol.discovery_events import EndpointEntry, EndpointList, Purge
 from cometseam.routing.translate import MAX_LIVE_EVENT_AGE_MS, EndpointTable, purge_event
 from cometseam.transport.clock import Clock
-from tests.drive import World, order, world
+from tests.drive import FrontTestbed, client_request, front_testbed
 from tests.test_actors import LISTING
 
 pytestmark = pytest.mark.anyio
@@ -42,15 +42,15 @@
 
 
 @asynccontextmanager
-async def world_with_clock_step(folder: Path) -> AsyncIterator[tuple[World, Path]]:
+async def front_with_clock_step(folder: Path) -> AsyncIterator[tuple[FrontTestbed, Path]]:
     """Run the program with the shim; yield it and the file that holds the step in seconds."""
     step = folder / "step"
     step.write_text("0")
     (folder / "sitecustomize.py").write_text(SHIM)
     paths = f"{folder}:{os.getcwd()}"
     environment = {"PYTHONPATH": paths, "TEST_CLOCK": str(step)}
-    async with world(folder, environment=environment) as here:
-        yield here, step
+    async with front_testbed(folder, environment=environment) as testbed:
+        yield testbed, step
     assert (folder / "step.called").exists()  # the shim was used
 
 
@@ -58,41 +58,41 @@
 async def test_request_in_flight_keeps_its_deadline_and_attempt_timeouts(
     step_s: float, tmp_path: Path
 ) -> None:
-    async with world_with_clock_step(tmp_path) as (here, step):
-        caller, cache = await here.call(), here.caches["cache-1"]
+    async with front_with_clock_step(tmp_path) as (testbed, step):
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
         started_at = time.monotonic()
-        await caller.send(order(1, limit="2000"))
+        await caller.send(client_request(1, limit="2000"))
         first = await cache.next()  # unanswered: the attempt's own timeout is 200 ms and four sends
         step.write_text(str(step_s))
         with anyio.move_on_after(0.1):
             await caller.next()
             pytest.fail("answered at once")
-        assert cache.asked == [first] or cache.asked[1].word == "REQ"
+        assert cache.commands == [first] or cache.commands[1].verb == "REQ"
         with anyio.fail_after(2.5):
             answer = await caller.next()
         assert answer.type == 17 and time.monotonic() - started_at < 2.06
         # The front still serves after the step, on the same connection.
-        await caller.send(order(2, item="0" * 16))
-        asked = await here.first()
-        while asked.word != "REQ" or asked.id != f"{2:016x}":
-            asked = await here.first()
+        await caller.send(client_request(2, item="0" * 16))
+        asked = await testbed.next_command()
+        while asked.verb != "REQ" or asked.id != f"{2:016x}":
+            asked = await testbed.next_command()
         await asked.answer("DONE", COPY_FIELDS, b"y")
         assert (await caller.next()).body == b"y"
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 async def test_purge_and_shutdown_are_unaffected(step_s: float, tmp_path: Path) -> None:
-    async with world_with_clock_step(tmp_path) as (here, step):
-        caller, cache = await here.call(), here.caches["cache-1"]
-        here.tell(invalidate={"bucket": 17, "time": round(time.time() * 1000.0)})
-        await here.polled_from(2)
+    async with front_with_clock_step(tmp_path) as (testbed, step):
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
+        testbed.add_event(invalidate={"bucket": 17, "time": round(time.time() * 1000.0)})
+        await testbed.wait_for_poll_since(2)
         step.write_text(str(step_s))
         await anyio.sleep(0.2)
-        await caller.send(order(1))
+        await caller.send(client_request(1))
         asked = await cache.next()
         assert 100.0 < float(asked.fields["fresh"]) < 2000.0
-        here.process.terminate()
-        await here.logged(b"drains")
+        testbed.process.terminate()
+        await testbed.logged(b"drains")
         drain_started_at = time.monotonic()
         await anyio.sleep(0.1)
         await asked.answer("DONE", COPY_FIELDS, b"y")
@@ -101,7 +101,7 @@
             answer = await caller.next()
         assert answer.body == b"y"  # it was not cut short
         with anyio.fail_after(5):
-            await here.end()
+            await testbed.end()
         assert 0.1 < time.monotonic() - drain_started_at < 4.0
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,9 +11,9 @@
 import anyio
 import pytest
 
-from tests.drive import World, order, world
+from tests.drive import FrontTestbed, client_request, front_testbed
 from tests.test_endings import BIG_BYTES, accept_without_reading, one_peer, run_other_tasks
-from tests.test_leaving import stands_still
+from tests.test_leaving import is_stopped
 
 pytestmark = pytest.mark.anyio
 DEADLINE_TOLERANCE_MS = 150  # by which a deadline passed on may exceed the client's own
@@ -29,25 +29,27 @@
 ) -> None:
     """The client's deadline counts from when it sent its request; the front reads it 0.6 s later."""
 
-    def prepare(here: World) -> None:
-        here.config["settings"]["grades"][0]["aim"] = 4000.0
+    def prepare(testbed: FrontTestbed) -> None:
+        testbed.config["settings"]["grades"][0]["aim"] = 4000.0
 
-    async with world(tmp_path, prepare=prepare) as here:
-        callers = [await here.call() for _ in range(12)]
-        here.process.send_signal(signal.SIGSTOP)
-        while not stands_still(here.process.pid):
+    async with front_testbed(tmp_path, prepare=prepare) as testbed:
+        callers = [await testbed.connect_client() for _ in range(12)]
+        testbed.process.send_signal(signal.SIGSTOP)
+        while not is_stopped(testbed.process.pid):
             await anyio.sleep(0.001)
         sent_at = time.monotonic()
         for number, caller in enumerate(callers, 1):
             object_id = f"{number:016x}"
-            await caller.send(order(1, verb="grids", limit="3000", ram="2500", txn=object_id, item=object_id))
+            await caller.send(
+                client_request(1, verb="grids", limit="3000", ram="2500", txn=object_id, item=object_id)
+            )
         await anyio.sleep(0.6)
-        here.process.send_signal(signal.SIGCONT)
-        cache = here.caches["cache-1"]
+        testbed.process.send_signal(signal.SIGCONT)
+        cache = testbed.caches["cache-1"]
         first = await cache.next()
         elapsed_ms = 1000.0 * (time.monotonic() - sent_at)
         assert elapsed_ms > 600.0
-        for asked in [first, *cache.asked]:
+        for asked in [first, *cache.commands]:
             assert int(asked.fields["ttl"]) <= 3000 - 600 + DEADLINE_TOLERANCE_MS, asked.parts
 
 
@@ -64,8 +66,10 @@
         assert not second.outgoing.begun
         await anyio.sleep(0.4)
         may_read.set()
-        await harness.news.until(lambda: f"{2:016x}".encode() in got and b"ttl=" in got.rpartition(b"REQ")[2])
-        await harness.news.until(lambda: second.written_at)
+        await harness.notifier.wait_until(
+            lambda: f"{2:016x}".encode() in got and b"ttl=" in got.rpartition(b"REQ")[2]
+        )
+        await harness.notifier.wait_until(lambda: second.written_at)
         passed_on = int(bytes(got).rpartition(b"ttl=")[2].split(b",")[0].split(b"\r")[0])
         assert passed_on <= 2600 + DEADLINE_TOLERANCE_MS
         harness.peer._stop_attempt(first, "given_up")  # type: ignore[arg-type]
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,7 +11,7 @@
 import anyio
 import pytest
 
-from tests.drive import World, frame, order, world
+from tests.drive import FrontTestbed, client_request, frame, front_testbed
 
 pytestmark = pytest.mark.anyio
 TAG = "4be0c1927d55a6f3"
@@ -29,11 +29,11 @@
 
 def prepare_shape(
     classes: list[dict[str, Any]], writes: list[bool], **ceilings: Any
-) -> Callable[[World], None]:
+) -> Callable[[FrontTestbed], None]:
     """Return a function that gives the sample's configuration this shape."""
 
-    def prepare(here: World) -> None:
-        settings = here.config["settings"]
+    def prepare(testbed: FrontTestbed) -> None:
+        settings = testbed.config["settings"]
         settings["grades"] = classes
         settings["ceilings"].update(ceilings)
         zeros = [0.0] * len(classes)
@@ -63,16 +63,16 @@
     ids=["quay", "atlas"],
 )
 async def test_a_class_is_known_only_by_the_settings(
-    tmp_path: Path, prepare: Callable[[World], None], own_class: str, other_class: str
+    tmp_path: Path, prepare: Callable[[FrontTestbed], None], own_class: str, other_class: str
 ) -> None:
-    async with world(tmp_path, prepare=prepare) as here:
-        caller = await here.call()
-        await caller.send(order(1, verb=own_class))
-        asked = await here.caches["cache-1"].next()
+    async with front_testbed(tmp_path, prepare=prepare) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1, verb=own_class))
+        asked = await testbed.caches["cache-1"].next()
         assert asked.fields["lane"] == own_class
         await asked.answer("DONE", f"tag={TAG},minted=1", b"x")
         assert (await caller.next()).body == b"x"
-        await caller.send(order(2, verb=other_class))
+        await caller.send(client_request(2, verb=other_class))
         got = await caller.next()
         assert got.code == 3 and "verb" in got.fields["reason"]
 
@@ -83,24 +83,26 @@
     ids=["once-only", "tagged"],
 )
 async def test_a_pull_that_may_have_run_is_retried_only_if_its_class_allows(
-    tmp_path: Path, prepare: Callable[[World], None], verb: str, is_retried: bool
+    tmp_path: Path, prepare: Callable[[FrontTestbed], None], verb: str, is_retried: bool
 ) -> None:
     """The idempotency key is sent with each relay: without it no cache could recognise a repeat."""
-    async with world(tmp_path, "cache-2", prepare=prepare) as here:
-        caller = await here.call()
-        await caller.send(order(1, verb=verb, unique="claim-7;b", body=b"as it is"))
-        first = await here.first()
+    async with front_testbed(tmp_path, "cache-2", prepare=prepare) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1, verb=verb, unique="claim-7;b", body=b"as it is"))
+        first = await testbed.next_command()
         assert first.fields["dedupe"] == "claim-7;b" and first.fields["lane"] == verb
         assert first.fields["via"] and "tier" not in first.fields and first.body == b"as it is"
         await first.answer("BROKE")
         if is_retried:
-            second = await here.first()
+            second = await testbed.next_command()
             assert second.id == first.id and second.fields["dedupe"] == "claim-7;b"
             await second.answer("DONE", f"tag={TAG},minted=1", b"done")
             assert (await caller.next()).body == b"done"
         else:
             assert (await caller.next()).code == 3  # a shed answer would say that a retry is harmless
-            asked = [asked for cache in here.caches.values() for asked in cache.asked if asked.word == "REQ"]
+            asked = [
+                asked for cache in testbed.caches.values() for asked in cache.commands if asked.verb == "REQ"
+            ]
             assert len(asked) == 1
 
 
@@ -108,18 +110,18 @@
     ("prepare", "verb", "stops"), [(QUAY, "charts", False), (ATLAS, "terrain", True)], ids=["quay", "atlas"]
 )
 async def test_a_client_that_disconnects_stops_its_relay_only_if_cancelling_is_allowed(
-    tmp_path: Path, prepare: Callable[[World], None], verb: str, stops: bool
+    tmp_path: Path, prepare: Callable[[FrontTestbed], None], verb: str, stops: bool
 ) -> None:
-    async with world(tmp_path, prepare=prepare) as here:
-        caller, cache = await here.call(), here.caches["cache-1"]
-        await caller.send(order(1, verb=verb))
+    async with front_testbed(tmp_path, prepare=prepare) as testbed:
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
+        await caller.send(client_request(1, verb=verb))
         first = await cache.next()
-        await caller.send(frame(18, 1), order(2, verb=verb, item="00000000000000aa"))
+        await caller.send(frame(18, 1), client_request(2, verb=verb, item="00000000000000aa"))
         received = [await cache.next() for _ in range(1 + stops)]
-        assert sorted(asked.word for asked in received) == ["REQ", "STOP"][: 1 + stops]
-        assert all(asked.id == first.id for asked in received if asked.word == "STOP")
+        assert sorted(asked.verb for asked in received) == ["REQ", "STOP"][: 1 + stops]
+        assert all(asked.id == first.id for asked in received if asked.verb == "STOP")
         for asked in received:
-            if asked.word == "REQ":
+            if asked.verb == "REQ":
                 await asked.answer("DONE", f"tag={TAG},minted=1", b"two")
         assert (await caller.next()).body == b"two"
 
@@ -130,14 +132,14 @@
     ids=["quay", "atlas"],
 )
 async def test_a_shed_answer_has_a_retry_after_only_if_the_settings_allow_it(
-    tmp_path: Path, prepare: Callable[[World], None], verb: str, retry_after: str | None
+    tmp_path: Path, prepare: Callable[[FrontTestbed], None], verb: str, retry_after: str | None
 ) -> None:
-    async with world(tmp_path, prepare=prepare) as here:
-        caller = await here.call()
-        await caller.send(order(1, verb=verb))
+    async with front_testbed(tmp_path, prepare=prepare) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1, verb=verb))
         for _ in range(6):  # the only cache is full
             with anyio.move_on_after(0.5):
-                await (await here.caches["cache-1"].next()).answer("WAIT")
+                await (await testbed.caches["cache-1"].next()).answer("WAIT")
                 continue
             break
         got = await caller.next()
@@ -146,14 +148,14 @@
 
 @pytest.mark.parametrize("prepare", [QUAY, ATLAS], ids=["quay", "atlas"])
 async def test_a_connection_carries_no_more_streams_than_the_settings_allow(
-    tmp_path: Path, prepare: Callable[[World], None]
+    tmp_path: Path, prepare: Callable[[FrontTestbed], None]
 ) -> None:
-    async with world(tmp_path, prepare=prepare) as here:
-        settings = here.config["settings"]
+    async with front_testbed(tmp_path, prepare=prepare) as testbed:
+        settings = testbed.config["settings"]
         streams, verb = settings["ceilings"]["streamsPerConn"], settings["grades"][0]["name"]
-        caller, cache = await here.call(), here.caches["cache-1"]
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
         await caller.send(
-            *(order(number, verb=verb, item=f"{number:016x}", ram="1") for number in range(1, 31))
+            *(client_request(number, verb=verb, item=f"{number:016x}", ram="1") for number in range(1, 31))
         )
         streams_by_connection: dict[int, int] = {}
         for _ in range(streams + 1):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,7 +21,7 @@
     UnusableEvent,
     parse_answer,
 )
-from tests.drive import SAMPLE, News
+from tests.drive import SAMPLE, Notifier
 from tests.standins.discovery import Discovery
 from tests.test_actors import CONFIG
 
@@ -277,13 +277,13 @@
     """The address changes before the answer is written; the event arrives over the old connection."""
     old, new = Discovery(delay=0.3), Discovery(silent={1, 2, 3})
     async with running_client(old.serve, new.serve) as (client, received, addresses):
-        await old.news.until(lambda: old.polls)
+        await old.notifier.wait_until(lambda: old.polls)
         event = old.drain(ENDPOINT_ENTRIES[0])
         await anyio.sleep(0.1)
         client.set_address(addresses[1])
-        await new.news.until(lambda: new.polls)
+        await new.notifier.wait_until(lambda: new.polls)
         assert old.notified_at(event) is None  # the answer has not been written when the address changes
-        await old.news.until(lambda: old.notified_at(event) is not None)
+        await old.notifier.wait_until(lambda: old.notified_at(event) is not None)
         while not received:
             await anyio.sleep(0.001)
         assert [received_event.seq for received_event in received] == [event] and client.last_seq == event
@@ -293,7 +293,7 @@
 
 async def test_undelimited_answer_is_used_once_its_json_is_complete() -> None:
     """The connection stays open: a front waiting for its end would abandon a complete answer."""
-    news, poll_count = News(), 0
+    notifier, poll_count = Notifier(), 0
     event = {"seq": 2, "invalidate": {"object": "7" * 16, "time": 1}}
     text = json.dumps({"seq": 2, "results": [event]}).encode()
 
@@ -301,7 +301,7 @@
         nonlocal poll_count
         await stream.receive()
         poll_count += 1
-        news.tell()
+        notifier.notify()
         if poll_count > 1:
             await anyio.sleep_forever()
         await stream.send(b"HTTP/1.1 200 OK\r\n\r\n" + text[:20])
@@ -310,7 +310,7 @@
         await anyio.sleep_forever()
 
     async with running_client(serve) as (client, received, _):
-        await news.until(lambda: poll_count == 2)  # the next poll uses another connection
+        await notifier.wait_until(lambda: poll_count == 2)  # the next poll uses another connection
         assert client.last_seq == 2 and [received_event.seq for received_event in received] == [2]
 
 
@@ -341,7 +341,7 @@
     discovery = Discovery(ends=set(range(1, 10)))
     async with running_client(discovery.serve) as (client, received, _):
         event = discovery.drain(ENDPOINT_ENTRIES[0])
-        await discovery.news.until(lambda: len(discovery.polls) == 9)
+        await discovery.notifier.wait_until(lambda: len(discovery.polls) == 9)
         recovered_at = anyio.current_time()  # the ninth connection fails now; from now on polls are answered
         while not received:
             await anyio.sleep(0.001)
@@ -352,7 +352,7 @@
     discovery = Discovery(silent=set(range(1, 8)))
     async with running_client(discovery.serve) as (client, received, _):
         event = discovery.drain(ENDPOINT_ENTRIES[0])
-        await discovery.news.until(lambda: len(discovery.polls) == 7)
+        await discovery.notifier.wait_until(lambda: len(discovery.polls) == 7)
         silent_since = anyio.current_time()
         while not received:
             await anyio.sleep(0.001)
@@ -364,9 +364,9 @@
     """The router calls `read_now` before it sends: an answer has arrived, but its task has not run yet."""
     discovery = Discovery()
     async with running_client(discovery.serve) as (client, received, _):
-        await discovery.news.until(lambda: discovery.polls)
+        await discovery.notifier.wait_until(lambda: discovery.polls)
         event = discovery.drain(ENDPOINT_ENTRIES[0])
-        await discovery.news.until(lambda: discovery.notified_at(event) is not None)
+        await discovery.notifier.wait_until(lambda: discovery.notified_at(event) is not None)
         # The server wrote it in this event loop iteration, so the client's task has not been woken yet.
         received_before = list(received)
         client._last_read_at = float("-inf")
@@ -380,7 +380,7 @@
     discovery = Discovery(silent={1, 2, 3}, delay=0.9)
     async with running_client(discovery.serve) as (client, received, _):
         event = discovery.drain(ENDPOINT_ENTRIES[0])
-        await discovery.news.until(lambda: discovery.notified_at(event) is not None)
+        await discovery.notifier.wait_until(lambda: discovery.notified_at(event) is not None)
         with anyio.move_on_after(0.3):
             while not received:
                 await anyio.sleep(0.01)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -32,7 +32,7 @@
 from cometseam.transport.connection import Connection
 from cometseam.transport.peer import Peer
 from cometseam.transport.resources import ProcessResources
-from tests.drive import Cache, News, order, resp
+from tests.drive import Cache, Notifier, client_request, resp
 from tests.test_actors import CONFIG, LISTING, Caller
 from tests.test_actors import order as ordered
 
@@ -53,9 +53,9 @@
         links = replace(CONFIG.links, connect_timeout=connect_timeout)
         clock = Clock()
         self.resources = ProcessResources(links, BufferPool(1 << 22), clock, Timers(clock), connections)
-        self.tasks, self.news = tasks, News()
+        self.tasks, self.notifier = tasks, Notifier()
         self.ended_attempts: list[AttemptEnded] = []
-        self.cache = Cache("c", self.news)
+        self.cache = Cache("c", self.notifier)
         self.peer: Peer
 
     async def start(
@@ -72,7 +72,7 @@
 
     def on_attempt_ended(self, end: AttemptEnded) -> None:
         self.ended_attempts.append(end)
-        self.news.tell()
+        self.notifier.notify()
 
     def start_attempt(
         self,
@@ -92,7 +92,7 @@
         return attempt
 
     async def end_reasons(self, count: int = 1) -> list[EndReason]:
-        await self.news.until(lambda: len(self.ended_attempts) >= count)
+        await self.notifier.wait_until(lambda: len(self.ended_attempts) >= count)
         return [end.reason for end in self.ended_attempts]
 
 
@@ -149,7 +149,7 @@
         assert asked.id == f"{99:016x}"
         await asked.answer("DONE", f"tag={TAG},minted=1", b"x")
         assert await caller.until(1) == ["99 served"]
-        assert [asked.id for asked in harness.cache.asked] == [f"{99:016x}"] and not actor.pending_count
+        assert [asked.id for asked in harness.cache.commands] == [f"{99:016x}"] and not actor.pending_count
 
 
 @pytest.mark.parametrize("wanted", [True, False], ids=["wanted", "left, drained or purged meanwhile"])
@@ -168,14 +168,16 @@
         if served == 2:
             await stream.send(resp(f"{1:016x}", "LACK", "-", b""))
             await anyio.sleep_forever()
-        harness.news.tell()
+        harness.notifier.notify()
         await may_read.wait()
         await stream.aclose()
 
     async with one_peer() as harness:
         await harness.start(serve)
         attempt = harness.start_attempt(1, body=BIG_BYTES)
-        await harness.news.until(lambda: served and attempt.outgoing is not None and attempt.outgoing.begun)
+        await harness.notifier.wait_until(
+            lambda: served and attempt.outgoing is not None and attempt.outgoing.begun
+        )
         assert not attempt.written_at  # it is partly written
         if not wanted:
             harness.peer.mailbox.push(GiveUp(attempt, if_unsent=True))
@@ -202,7 +204,7 @@
                 if not data:
                     return
                 got.extend(data)
-                harness.news.tell()
+                harness.notifier.notify()
 
     harness.tasks.start_soon(serve)
     host, port = listening.getsockname()
@@ -215,7 +217,7 @@
     async with one_peer(connections=1, connect_timeout=5000.0) as harness:
         await harness.start(address=accept_without_reading(harness, may_read, got))
         first = harness.start_attempt(1, body=BIG_BYTES)
-        await harness.news.until(lambda: True)
+        await harness.notifier.wait_until(lambda: True)
         while first.outgoing is None or not first.outgoing.begun:
             await run_other_tasks()
         second = harness.start_attempt(2)
@@ -225,7 +227,7 @@
         harness.peer.mailbox.push(GiveUp(second, if_unsent=True))
         assert await harness.end_reasons() == [EndReason.UNSENT]
         may_read.set()
-        await harness.news.until(lambda: len(got) > BIG_BYTES)
+        await harness.notifier.wait_until(lambda: len(got) > BIG_BYTES)
         harness.peer._stop_attempt(first, EndReason.GIVEN_UP)
         assert f"{2:016x}".encode() not in got
 
@@ -248,7 +250,7 @@
         assert (
             await harness.end_reasons() == [EndReason.UNSENT] and harness.ended_attempts[0].attempt is second
         )
-        await harness.news.until(lambda: f"{3:016x}".encode() in got)
+        await harness.notifier.wait_until(lambda: f"{3:016x}".encode() in got)
         assert f"{2:016x}".encode() not in got and second.written_at == 0.0
         assert first.channel is not None and set(first.channel.attempts) == {f"{1:016x}", f"{3:016x}"}
 
@@ -268,7 +270,7 @@
         def handle(self, now: float, event: i.Event) -> list[i.Action]:
             if isinstance(event, i.RelayEnded):
                 ends.append(event)
-                harness.news.tell()
+                harness.notifier.notify()
             return super().handle(now, event)
 
     async with one_peer() as harness:
@@ -283,8 +285,8 @@
         in_flight = actor._open[1].in_flight
         assert in_flight is not None
         actor.apply_changes([EndpointList(2, False, tuple(replace(entry, **change) for entry in entries))])
-        await harness.news.until(lambda: ends)
-        assert ends[0].outcome is i.Outcome.NOT_SENT and not harness.cache.asked
+        await harness.notifier.wait_until(lambda: ends)
+        assert ends[0].outcome is i.Outcome.NOT_SENT and not harness.cache.commands
         assert harness.resources.clock.now() < in_flight.attempt.deadline  # it did not merely time out
 
 
@@ -365,9 +367,9 @@
         await harness.start()
         harness.start_attempt(1)
         asked = await harness.cache.next()
-        await harness.news.until(lambda: True)
+        await harness.notifier.wait_until(lambda: True)
         with anyio.fail_after(5):
-            while not harness.cache.doubted:
+            while not harness.cache.keep_alive_checks:
                 await anyio.sleep(0.001)
         await asked.answer("LACK", "-")
         assert await harness.end_reasons() == [EndReason.ANSWERED]
@@ -406,10 +408,10 @@
         await asked.answer("DONE", f"tag={TAG},minted=1", b"late")
         second = harness.start_attempt(2)
         other = await harness.cache.next()
-        while other.word == "STOP":
+        while other.verb == "STOP":
             other = await harness.cache.next()
         await other.answer("DONE", f"tag={TAG},minted=1", b"in time")
-        await harness.news.until(lambda: len(harness.ended_attempts) == 2)
+        await harness.notifier.wait_until(lambda: len(harness.ended_attempts) == 2)
         harness.peer._stop_attempt(second, EndReason.TIMED_OUT)  # after its answer
         assert [end.reason for end in harness.ended_attempts] == [EndReason.TIMED_OUT, EndReason.ANSWERED]
         answer = harness.ended_attempts[1].answer
@@ -452,7 +454,7 @@
         while COUNTERS.counts["peer.connected"] < count_before + 2:
             await run_other_tasks()
         await run_other_tasks()
-        assert len(harness.cache.asked) == 1
+        assert len(harness.cache.commands) == 1
 
 
 class ManualClock(Clock):
@@ -524,7 +526,7 @@
             listener = Listener(("127.0.0.1", 0), 8, BufferPool(1 << 22), clock, handler)
             listener._tasks = tasks  # only the drain accepts
             sock = socket.create_connection(listener._sock.getsockname())
-            sock.sendall(order(1))
+            sock.sendall(client_request(1))
             sock.setblocking(False)
             assert not listener.clients
             monkeypatch.setattr(anyio, "sleep", clock.sleep)
@@ -557,14 +559,14 @@
     # The 500 ms are for connecting and for delays of the front itself.
     assert time_of_fourth_poll(PollPolicy()) < 7000.0 - 500.0
     policy = PollPolicy(hold=40.0, answer_allowance=20.0, quick_allowance=20.0, connection_interval=20.0)
-    news, connection_count = News(), 0
+    notifier, connection_count = Notifier(), 0
     changes: list[Any] = []
     event = {"seq": 2, "invalidate": {"object": "7" * 16, "time": 1}}
 
     async def serve(stream: SocketStream) -> None:
         nonlocal connection_count
         connection_count += 1
-        news.tell()
+        notifier.notify()
         await stream.receive()
         if connection_count == 2:
             await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n")
@@ -582,7 +584,7 @@
 
     def on_changes(new_changes: list[Any]) -> None:
         changes.extend(new_changes)
-        news.tell()
+        notifier.notify()
 
     with anyio.fail_after(10):
         async with anyio.create_task_group() as tasks:
@@ -591,14 +593,14 @@
             address = ("127.0.0.1", listener.extra(SocketAttribute.local_port))
             log = DiscoveryClient(address, 1, CONFIG.names, on_changes, policy)
             tasks.start_soon(log.run)
-            await news.until(lambda: changes)
+            await notifier.wait_until(lambda: changes)
             assert connection_count == 4 and log.last_seq == 2
             tasks.cancel_scope.cancel()
 
 
 async def test_changing_the_log_address_during_a_partly_read_answer_loses_and_repeats_nothing() -> None:
     """SIGHUP changes the address after half an answer; its rest comes after the new log's answer."""
-    news, changes, requested_paths = News(), list[Any](), list[str]()
+    notifier, changes, requested_paths = Notifier(), list[Any](), list[str]()
     half_sent, may_send_rest = anyio.Event(), anyio.Event()
     events = [{"seq": seq, "invalidate": {"object": f"{seq:016x}", "time": 1}} for seq in (2, 3)]
     text = json.dumps({"seq": 3, "results": events}).encode()
@@ -615,7 +617,7 @@
     async def serve_new(stream: SocketStream) -> None:
         while len(requested_paths) < 2:
             requested_paths.append((await stream.receive()).decode().split(" ")[1])
-            news.tell()
+            notifier.notify()
             if len(requested_paths) == 1:
                 await stream.send(response)
         await anyio.sleep_forever()
@@ -633,7 +635,9 @@
             await run_other_tasks()
             assert not changes
             log.set_address(addresses[1])
-            await news.until(lambda: len(requested_paths) == 2)  # it has processed the answer and polls again
+            await notifier.wait_until(
+                lambda: len(requested_paths) == 2
+            )  # it has processed the answer and polls again
             may_send_rest.set()
             await run_other_tasks()
             assert [path.split("since=")[1].split("&")[0] for path in requested_paths] == ["1", "3"]
@@ -650,19 +654,19 @@
     def __init__(self) -> None:
         self.accepted: list[tuple[Client, int]] = []
         self.withdrawn: list[int] = []
-        self.news = News()
+        self.notifier = Notifier()
 
     def is_ready(self) -> bool:
         return True
 
     def submit_pull(self, client: Client, stream: int, order: Any) -> bool:
         self.accepted.append((client, stream))
-        self.news.tell()
+        self.notifier.notify()
         return True
 
     def hang_up(self, client: Client, stream: int) -> None:
         self.withdrawn.append(stream)
-        self.news.tell()
+        self.notifier.notify()
 
 
 class SheddingPullHandler(RecordingPullHandler):
@@ -737,7 +741,7 @@
     async with client_listener() as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        flood = order(1) + b"\xff" * 9 + bytes(2_000_000)  # far more than is read
+        flood = client_request(1) + b"\xff" * 9 + bytes(2_000_000)  # far more than is read
         sent = 0
 
         async def send() -> None:
@@ -750,13 +754,15 @@
                     continue
                 except OSError:
                     return
-                handler.news.tell()
+                handler.notifier.notify()
 
         async with anyio.create_task_group() as sending:
             sending.start_soon(send)
-            await handler.news.until(lambda: handler.accepted and sent > 300_000)
+            await handler.notifier.wait_until(lambda: handler.accepted and sent > 300_000)
             (client, stream) = handler.accepted[0]
-            await handler.news.until(lambda: client._discarded_bytes > 262144)  # the bound is exceeded
+            await handler.notifier.wait_until(
+                lambda: client._discarded_bytes > 262144
+            )  # the bound is exceeded
             await run_other_tasks()
             assert client in listener.clients and client.awaits(stream) and not handler.withdrawn
             body = FakeBody(240_000)
@@ -775,20 +781,20 @@
     async with client_listener(max_clients=3) as (listener, handler, connect_client, _):
         busy = [await connect_client() for _ in range(2)]
         for sock in busy:
-            sock.send(order(1))
-        await handler.news.until(lambda: len(handler.accepted) == 2)
+            sock.send(client_request(1))
+        await handler.notifier.wait_until(lambda: len(handler.accepted) == 2)
         fresh = await connect_client()
         while len(listener.clients) < 3:
             await run_other_tasks()
         late = await connect_client()
         for _ in range(3):
             assert listener.accept() is None  # the limit is reached: it waits
-        fresh.send(order(5))
-        await handler.news.until(lambda: len(handler.accepted) == 3)
+        fresh.send(client_request(5))
+        await handler.notifier.wait_until(lambda: len(handler.accepted) == 3)
         client, stream = handler.accepted[-1]
         client.answer_shed(stream, 0.0)  # it has sent a pull and is idle: now it may be evicted
-        late.send(order(9))
-        await handler.news.until(lambda: len(handler.accepted) == 4)
+        late.send(client_request(9))
+        await handler.notifier.wait_until(lambda: len(handler.accepted) == 4)
         got, clean = await read_to_end(fresh)
         assert got and clean  # the earlier answer arrived completely
         for sock in (*busy, fresh, late):
@@ -799,8 +805,8 @@
     """The client's next pull crosses the close of its idle connection: its last answer arrives completely."""
     async with client_listener() as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
-        sock.send(order(1))
-        await handler.news.until(lambda: handler.accepted)
+        sock.send(client_request(1))
+        await handler.notifier.wait_until(lambda: handler.accepted)
         client, stream = handler.accepted[0]
         body = FakeBody(100_000)
         client.answer_served(stream, False, body)
@@ -809,7 +815,7 @@
             await anyio.wait_readable(sock)
             got += sock.recv(4096)
         listener._close_client(client, "overdue")
-        sock.send(order(2))  # after the check, before the client sees the close
+        sock.send(client_request(2))  # after the check, before the client sees the close
         rest, clean = await read_to_end(sock)
         assert clean and (got + rest).endswith(body.bytes) and len(handler.accepted) == 1
         sock.close()
@@ -819,8 +825,8 @@
     """Guards against closing a connection for an incomplete frame while pulls on it are open."""
     async with client_listener() as (_, handler, connect_client, _):
         sock = await connect_client()
-        sock.send(order(1) + order(2)[:20])
-        await handler.news.until(lambda: handler.accepted)
+        sock.send(client_request(1) + client_request(2)[:20])
+        await handler.notifier.wait_until(lambda: handler.accepted)
         client, stream = handler.accepted[0]
         while not client._partial_frame_since:
             await run_other_tasks()
@@ -837,14 +843,14 @@
     """Guards against pulls forwarded for a client that has gone, while its input waits for a buffer."""
     async with client_listener(memory=16 * BUFFER_SIZE_BYTES) as (_, handler, connect_client, pool):
         sock = await connect_client()
-        sock.send(order(1))
-        await handler.news.until(lambda: handler.accepted)
+        sock.send(client_request(1))
+        await handler.notifier.wait_until(lambda: handler.accepted)
         acquired = [buffer for _ in range(pool.max_buffers) if (buffer := pool.acquire()) is not None]
         assert pool.acquire() is None  # nothing can be read now
-        sock.send(order(2))
+        sock.send(client_request(2))
         while not handler.accepted[0][0]._connection.starved:
             await anyio.sleep(0.001)
         sock.close()
-        await handler.news.until(lambda: handler.withdrawn)
+        await handler.notifier.wait_until(lambda: handler.withdrawn)
         assert handler.withdrawn == [1] and len(handler.accepted) == 1
         pool.release(acquired)
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -25,7 +25,7 @@
     State,
 )
 from cometseam.verdicts import Prober, ProbeTerms, VerdictTable
-from tests.drive import EDGES, Drive, line
+from tests.drive import EDGES, FrontDriver, cache_entry
 
 TERMS = OwnershipTerms(1000.0, 250.0, 0.01, 200.0, 100.0)
 PROBE_TERMS = ProbeTerms(interval=100.0, within=50.0, fails=2, passes=2, lasts=900.0)
@@ -291,34 +291,34 @@
 # What the decision module does with a verdict
 
 
-def first_asked_cache(drive: Drive, number: int) -> int:
-    drive.pull(number, wanted=number)
-    return drive.last[number].cache
+def first_asked_cache(driver: FrontDriver, number: int) -> int:
+    driver.pull(number, object_id=number)
+    return driver.last[number].cache
 
 
 def test_a_cache_with_a_bad_verdict_gets_no_relays_without_a_failure_seen_here() -> None:
-    drive = Drive()
-    without_verdict = {first_asked_cache(drive, number) for number in range(1, 30)}
+    driver = FrontDriver()
+    without_verdict = {first_asked_cache(driver, number) for number in range(1, 30)}
     assert without_verdict == set(EDGES)
-    drive = Drive()
-    drive.tell(i.HealthVerdict(EDGES[0], True, 5000.0, 300.0))
-    with_verdict = {first_asked_cache(drive, number) for number in range(1, 30)}
+    driver = FrontDriver()
+    driver.send_event(i.HealthVerdict(EDGES[0], True, 5000.0, 300.0))
+    with_verdict = {first_asked_cache(driver, number) for number in range(1, 30)}
     assert with_verdict == set(EDGES[1:])
 
 
 def test_an_answer_that_a_front_got_itself_outweighs_the_fleets_verdict() -> None:
-    drive = Drive()
-    number = next(n for n in range(1, 100) if first_asked_cache(drive, n) == EDGES[0])
-    drive.end(number)
+    driver = FrontDriver()
+    number = next(n for n in range(1, 100) if first_asked_cache(driver, n) == EDGES[0])
+    driver.end(number)
     # The verdict's evidence began after that answer.
-    drive.tell(i.HealthVerdict(EDGES[0], True, 5000.0, 50.0), after=100.0)
-    assert EDGES[0] not in {first_asked_cache(drive, n) for n in range(200, 230)}
-    drive = Drive()
-    number = next(n for n in range(1, 100) if first_asked_cache(drive, n) == EDGES[0])
-    drive.end(number)
+    driver.send_event(i.HealthVerdict(EDGES[0], True, 5000.0, 50.0), after=100.0)
+    assert EDGES[0] not in {first_asked_cache(driver, n) for n in range(200, 230)}
+    driver = FrontDriver()
+    number = next(n for n in range(1, 100) if first_asked_cache(driver, n) == EDGES[0])
+    driver.end(number)
     # It has answered since.
-    drive.tell(i.HealthVerdict(EDGES[0], True, 5000.0, 500.0), after=100.0)
-    assert EDGES[0] in {first_asked_cache(drive, n) for n in range(200, 230)}
+    driver.send_event(i.HealthVerdict(EDGES[0], True, 5000.0, 500.0), after=100.0)
+    assert EDGES[0] in {first_asked_cache(driver, n) for n in range(200, 230)}
 
 
 def test_bad_verdicts_on_all_caches_shed_nothing_and_a_draining_one_stays_barred() -> None:
@@ -326,26 +326,26 @@
 
     If all caches have a bad verdict, relays are tried anyway; a draining cache still gets none (rule 3).
     """
-    drive = Drive()
+    driver = FrontDriver()
     for cache in EDGES:
-        drive.tell(i.HealthVerdict(cache, True, 5000.0, 300.0))
-    assert first_asked_cache(drive, 1) in EDGES
-    drive.tell(
+        driver.send_event(i.HealthVerdict(cache, True, 5000.0, 300.0))
+    assert first_asked_cache(driver, 1) in EDGES
+    driver.send_event(
         i.CacheListUpdate(
             i.ListUpdateKind.CHANGES, (i.CacheEntry(EDGES[0], i.Lifecycle.DRAINING, 0, 1, 1, 0, 8),)
         )
     )
-    drive.tell(i.HealthVerdict(EDGES[0], False, 0.0, 0.0))
+    driver.send_event(i.HealthVerdict(EDGES[0], False, 0.0, 0.0))
     # A cache that is not on the list.
-    drive.tell(i.HealthVerdict(999, True, 5000.0, 0.0))
-    assert EDGES[0] not in {first_asked_cache(drive, n) for n in range(2, 30)}
+    driver.send_event(i.HealthVerdict(999, True, 5000.0, 0.0))
+    assert EDGES[0] not in {first_asked_cache(driver, n) for n in range(2, 30)}
 
 
 def test_a_withdrawn_verdict_admits_one_relay_until_the_cache_answers() -> None:
-    drive = Drive()
-    drive.tell(i.HealthVerdict(EDGES[0], True, 5000.0, 300.0))
-    drive.tell(i.HealthVerdict(EDGES[0], False, 0.0, 0.0), after=100.0)
-    asked = [first_asked_cache(drive, n) for n in range(1, 30)]
+    driver = FrontDriver()
+    driver.send_event(i.HealthVerdict(EDGES[0], True, 5000.0, 300.0))
+    driver.send_event(i.HealthVerdict(EDGES[0], False, 0.0, 0.0), after=100.0)
+    asked = [first_asked_cache(driver, n) for n in range(1, 30)]
     assert asked.count(EDGES[0]) == 1
 
 
@@ -387,51 +387,51 @@
 # Fleet-wide cap on the relays in flight at a cache
 
 
-def in_flight_at(drive: Drive, cache: int) -> int:
-    return drive.front.servers[cache].limit.in_flight
+def in_flight_at(driver: FrontDriver, cache: int) -> int:
+    return driver.front.servers[cache].limit.in_flight
 
 
 def test_a_front_keeps_to_its_share_of_the_fleets_relays_in_flight() -> None:
     # One front in the zone of cache 12; two share parent 21.
-    drive = Drive(caches=(12, 21, 31))
-    drive.tell(i.ConcurrencyCap(3.0, 0.0))
+    driver = FrontDriver(caches=(12, 21, 31))
+    driver.send_event(i.ConcurrencyCap(3.0, 0.0))
     for number in range(1, 6):
-        drive.pull(number)
-    assert in_flight_at(drive, 12) == 3 and drive.front.servers[12].relay_share.reset_usage() == (True, 3.0)
+        driver.pull(number)
+    assert in_flight_at(driver, 12) == 3 and driver.front.servers[12].relay_share.reset_usage() == (True, 3.0)
     # A share of 1.02 of three relays.
-    drive.tell(i.CapacityLease(12, 0.34, 500.0, for_relays=True))
-    drive.end(1)
-    drive.end(2)
-    drive.pull(6)
-    assert in_flight_at(drive, 12) == 1 and 6 not in drive.last
-    drive.end(3)
-    drive.pull(7)
-    assert in_flight_at(drive, 12) == 1 and 7 in drive.last
+    driver.send_event(i.CapacityLease(12, 0.34, 500.0, for_relays=True))
+    driver.end(1)
+    driver.end(2)
+    driver.pull(6)
+    assert in_flight_at(driver, 12) == 1 and 6 not in driver.last
+    driver.end(3)
+    driver.pull(7)
+    assert in_flight_at(driver, 12) == 1 and 7 in driver.last
     # The lease has ended: the lesser of it and an equal share applies.
-    drive.pull(8, after=600.0)
-    assert in_flight_at(drive, 12) == 1 and 8 not in drive.last
-    drive.tell(i.CapacityLease(12, 1.0, 500.0, for_relays=True))
-    drive.pull(9)
-    assert in_flight_at(drive, 12) == 2
+    driver.pull(8, after=600.0)
+    assert in_flight_at(driver, 12) == 1 and 8 not in driver.last
+    driver.send_event(i.CapacityLease(12, 1.0, 500.0, for_relays=True))
+    driver.pull(9)
+    assert in_flight_at(driver, 12) == 2
 
 
 def test_a_cap_applies_to_parents_as_sources_and_never_to_the_origin() -> None:
-    drive = Drive(caches=(11, 21, 31))
-    drive.tell(i.ConcurrencyCap(0.0, 2.0))  # two fronts: one relay each
+    driver = FrontDriver(caches=(11, 21, 31))
+    driver.send_event(i.ConcurrencyCap(0.0, 2.0))  # two fronts: one relay each
     for number in range(1, 4):
-        drive.pull(number, wanted=number)
-        drive.lack(number)
-    sources = [drive.last[number].source for number in range(1, 4)]
-    assert sources == [21, 31, 31] and in_flight_at(drive, 21) == 1
-    assert drive.front.servers[31].relay_share.peak_used == 0.0
+        driver.pull(number, object_id=number)
+        driver.end_with_miss(number)
+    sources = [driver.last[number].source for number in range(1, 4)]
+    assert sources == [21, 31, 31] and in_flight_at(driver, 21) == 1
+    assert driver.front.servers[31].relay_share.peak_used == 0.0
 
 
 def test_without_a_cap_no_relay_is_barred() -> None:
-    drive = Drive(caches=(12, 21, 31))
-    drive.tell(i.CapacityLease(12, 0.0, 500.0, for_relays=True))
+    driver = FrontDriver(caches=(12, 21, 31))
+    driver.send_event(i.CapacityLease(12, 0.0, 500.0, for_relays=True))
     for number in range(1, 6):
-        drive.pull(number)
-    assert in_flight_at(drive, 12) == 5
+        driver.pull(number)
+    assert in_flight_at(driver, 12) == 5
 
 
 def test_a_front_keeps_its_share_when_a_cache_restarts() -> None:
@@ -439,19 +439,21 @@
 
     With the coordinator unreachable, no lease is sent again after the restart.
     """
-    drive = Drive(caches=(12, 21, 31))
-    drive.tell(i.CapacityLease(12, 0.2, 500.0))
-    drive.tell(i.CapacityLease(12, 0.3, 500.0, for_relays=True))
-    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(12, ready_at=drive.now),)), after=600.0)
-    server = drive.front.servers[12]
+    driver = FrontDriver(caches=(12, 21, 31))
+    driver.send_event(i.CapacityLease(12, 0.2, 500.0))
+    driver.send_event(i.CapacityLease(12, 0.3, 500.0, for_relays=True))
+    driver.send_event(
+        i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cache_entry(12, ready_at=driver.now),)), after=600.0
+    )
+    server = driver.front.servers[12]
     assert server.started_at > 0 and (
-        server.slow_start_share.share_at(drive.now),
-        server.relay_share.share_at(drive.now),
+        server.slow_start_share.share_at(driver.now),
+        server.relay_share.share_at(driver.now),
     ) == (0.2, 0.3)
 
 
 def gone_entry(cache: int) -> i.CacheEntry:
-    return replace(line(cache), lifecycle=i.Lifecycle.GONE)
+    return replace(cache_entry(cache), lifecycle=i.Lifecycle.GONE)
 
 
 @pytest.mark.parametrize("leaves_by", ["drains", "is gone", "is left out of a whole list"])
@@ -461,50 +463,52 @@
 
     The front's own lease may arrive, or end, while the cache is away.
     """
-    drive = Drive(caches=(12, 21, 31))
-    drive.tell(i.CapacityLease(12, 0.2, 500.0))
-    drive.tell(i.CapacityLease(12, 0.3, 500.0, for_relays=True))
-    entry = {"drains": line(12, i.Lifecycle.DRAINING), "is gone": gone_entry(12)}.get(leaves_by)
+    driver = FrontDriver(caches=(12, 21, 31))
+    driver.send_event(i.CapacityLease(12, 0.2, 500.0))
+    driver.send_event(i.CapacityLease(12, 0.3, 500.0, for_relays=True))
+    entry = {"drains": cache_entry(12, i.Lifecycle.DRAINING), "is gone": gone_entry(12)}.get(leaves_by)
     if entry is not None:
-        drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (entry,)))
+        driver.send_event(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (entry,)))
     else:
-        drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, (line(21), line(31))))
-    assert 12 not in drive.front.servers
+        driver.send_event(i.CacheListUpdate(i.ListUpdateKind.FULL, (cache_entry(21), cache_entry(31))))
+    assert 12 not in driver.front.servers
     # Received while the cache is away.
-    drive.tell(i.CapacityLease(12, 0.1, 100.0))
-    drive.tell(
-        i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(12, ready_at=drive.now if restarted else 0.0),)),
+    driver.send_event(i.CapacityLease(12, 0.1, 100.0))
+    driver.send_event(
+        i.CacheListUpdate(
+            i.ListUpdateKind.CHANGES, (cache_entry(12, ready_at=driver.now if restarted else 0.0),)
+        ),
         after=600.0,
     )
-    server = drive.front.servers[12]
-    assert (server.slow_start_share.share_at(drive.now), server.relay_share.share_at(drive.now)) == (
+    server = driver.front.servers[12]
+    assert (server.slow_start_share.share_at(driver.now), server.relay_share.share_at(driver.now)) == (
         0.1,
         0.3,
-    ) and not drive.front.removed
+    ) and not driver.front.removed
 
 
 def test_relays_in_flight_at_a_cache_that_drained_and_came_back_count_for_the_fleets_cap() -> None:
-    drive = Drive(caches=(12, 21, 31))
-    drive.tell(i.ConcurrencyCap(4.0, 0.0))
-    drive.tell(i.CapacityLease(12, 0.5, 60_000.0, for_relays=True))
+    driver = FrontDriver(caches=(12, 21, 31))
+    driver.send_event(i.ConcurrencyCap(4.0, 0.0))
+    driver.send_event(i.CapacityLease(12, 0.5, 60_000.0, for_relays=True))
     for number in (1, 2):
-        drive.pull(number, wanted=number)
-    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(12, i.Lifecycle.DRAINING),)))
-    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(12),)))
-    drive.pull(3, wanted=3)
+        driver.pull(number, object_id=number)
+    driver.send_event(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cache_entry(12, i.Lifecycle.DRAINING),)))
+    driver.send_event(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cache_entry(12),)))
+    driver.pull(3, object_id=3)
     # Two are in flight, of a share of two.
-    assert 3 not in drive.last
-    drive.end(1)
-    drive.pull(4, wanted=4)
-    assert drive.last[4].cache == 12
+    assert 3 not in driver.last
+    driver.end(1)
+    driver.pull(4, object_id=4)
+    assert driver.last[4].cache == 12
 
 
 def test_the_table_of_removed_caches_is_bounded_and_empty_if_nothing_is_shared() -> None:
-    drive = Drive()
-    drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, (line(31),)))
-    assert not drive.front.removed
-    drive.tell(i.ConcurrencyCap(4.0, 4.0))
-    many = tuple(replace(line(11), cache=1000 + n) for n in range(MAX_REMOVED + 20))
-    drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, many))
-    drive.tell(i.CacheListUpdate(i.ListUpdateKind.FULL, (line(31),)))
-    assert len(drive.front.removed) == MAX_REMOVED
+    driver = FrontDriver()
+    driver.send_event(i.CacheListUpdate(i.ListUpdateKind.FULL, (cache_entry(31),)))
+    assert not driver.front.removed
+    driver.send_event(i.ConcurrencyCap(4.0, 4.0))
+    many = tuple(replace(cache_entry(11), cache=1000 + n) for n in range(MAX_REMOVED + 20))
+    driver.send_event(i.CacheListUpdate(i.ListUpdateKind.FULL, many))
+    driver.send_event(i.CacheListUpdate(i.ListUpdateKind.FULL, (cache_entry(31),)))
+    assert len(driver.front.removed) == MAX_REMOVED
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -1,4 +1,4 @@
-"""Real fronts in a fleet: one probes and one reads the change log for all, with faults between them.
+"""Real fronts in a fleet: one probes and one reads the discovery event log for all, with faults between them.
 
 They guard against fronts that act on missing, stale or expired verdicts and log updates when the prober or
 the reader dies, is paused, or is cut off from the coordination service.
@@ -15,7 +15,7 @@
 from cometseam.operator.compiled import encode_compiled
 from cometseam.operator.fleet import parse_fleet_config as read_fleet
 from cometseam.operator.load import load
-from tests.drive import SAMPLE, order
+from tests.drive import SAMPLE, client_request
 from tests.standins.fronts import Fronts, fronts
 
 pytestmark = pytest.mark.anyio
@@ -28,127 +28,139 @@
     return "asyncio"
 
 
-async def count_served(here: Fronts, index: int, count: int, first: int) -> int:
+async def count_served(running_fronts: Fronts, index: int, count: int, first: int) -> int:
     """Send pulls for different objects through one front, one at a time; return how many were served."""
-    client, served = await here.worlds[index].call(), 0
+    client, served = await running_fronts.testbeds[index].connect_client(), 0
     for number in range(first, first + count):
         item = f"{number * 2654435761 % (1 << 64):016x}"
-        await client.send(order(number, txn=f"{number:016x}", item=item, ram="40"))
+        await client.send(client_request(number, txn=f"{number:016x}", item=item, ram="40"))
         served += (await client.next()).code == 1
     await client.stream.aclose()
     return served
 
 
-async def wait_for_verdict(here: Fronts, index: int, bad: bool) -> None:
+async def wait_for_verdict(running_fronts: Fronts, index: int, bad: bool) -> None:
     """Wait until a front applies the verdict on cache-2, as the relays of its pulls show."""
-    first = 1 + index * 100_000 + here.caches.asked.total()
+    first = 1 + index * 100_000 + running_fronts.caches.asked.total()
     with anyio.fail_after(10):
         while True:
-            before = here.caches.asked[1]
+            before = running_fronts.caches.asked[1]
             first += 30
-            served = await count_served(here, index, 30, first)
-            if served == 30 and (here.caches.asked[1] == before) is bad:
+            served = await count_served(running_fronts, index, 30, first)
+            if served == 30 and (running_fronts.caches.asked[1] == before) is bad:
                 return
 
 
 async def test_one_front_probes_for_all_and_each_avoids_the_cache_with_a_bad_verdict() -> None:
-    async with fronts(3, NAMES) as here:
-        prober = await here.probing()
+    async with fronts(3, NAMES) as running_fronts:
+        prober = await running_fronts.wait_for_owner()
         others = [index for index in range(3) if index != prober]
-        here.caches.silent.add(1)
-        await here.worlds[prober].logged(BAD_LOGGED)
-        await wait_for_verdict(here, others[0], True)
-        asked = here.caches.asked[1]
-        served = sum([await count_served(here, index, 40, 500_000 + 1000 * index) for index in others])
-        assert served == 80 and here.caches.asked[1] == asked  # neither had a failure of its own
+        running_fronts.caches.silent.add(1)
+        await running_fronts.testbeds[prober].logged(BAD_LOGGED)
+        await wait_for_verdict(running_fronts, others[0], True)
+        asked = running_fronts.caches.asked[1]
+        served = sum(
+            [await count_served(running_fronts, index, 40, 500_000 + 1000 * index) for index in others]
+        )
+        assert served == 80 and running_fronts.caches.asked[1] == asked  # neither had a failure of its own
         # The prober is killed: its verdict applies until another front owns the task, and after that.
-        here.worlds[prober].process.kill()
-        second = await here.probing(prober)
-        await here.worlds[second].logged(BAD_LOGGED)
-        assert await count_served(here, second, 40, 600_000) == 40 and here.caches.asked[1] == asked
-        here.caches.silent.clear()
-        await here.worlds[second].logged(GOOD_LOGGED)
+        running_fronts.testbeds[prober].process.kill()
+        second = await running_fronts.wait_for_owner(prober)
+        await running_fronts.testbeds[second].logged(BAD_LOGGED)
+        assert (
+            await count_served(running_fronts, second, 40, 600_000) == 40
+            and running_fronts.caches.asked[1] == asked
+        )
+        running_fronts.caches.silent.clear()
+        await running_fronts.testbeds[second].logged(GOOD_LOGGED)
         for index in others:
-            await wait_for_verdict(here, index, False)
+            await wait_for_verdict(running_fronts, index, False)
         last = next(index for index in others if index != second)
-        counters = await here.worlds[last].stop()
+        counters = await running_fronts.testbeds[last].stop()
         assert counters["fleet.verdict.heard"] >= 2 and "fleet.probes" not in counters
 
 
 async def test_a_front_cut_off_from_the_service_keeps_serving_and_its_verdicts_expire() -> None:
-    async with fronts(2, NAMES, lasts_ms=1800) as here:
-        prober = await here.probing()
+    async with fronts(2, NAMES, lasts_ms=1800) as running_fronts:
+        prober = await running_fronts.wait_for_owner()
         other = 1 - prober
-        here.caches.silent.add(1)
-        await here.worlds[prober].logged(BAD_LOGGED)
-        await wait_for_verdict(here, other, True)
-        await here.links[other].set_cut()
-        await here.worlds[other].logged(b"the ruling on cache-2 ended unsaid")
-        here.caches.silent.clear()
-        await wait_for_verdict(here, other, False)
-        assert await count_served(here, other, 20, 700_000) == 20
+        running_fronts.caches.silent.add(1)
+        await running_fronts.testbeds[prober].logged(BAD_LOGGED)
+        await wait_for_verdict(running_fronts, other, True)
+        await running_fronts.links[other].set_cut()
+        await running_fronts.testbeds[other].logged(b"the ruling on cache-2 ended unsaid")
+        running_fronts.caches.silent.clear()
+        await wait_for_verdict(running_fronts, other, False)
+        assert await count_served(running_fronts, other, 20, 700_000) == 20
 
 
 async def test_a_prober_paused_beyond_its_lease_publishes_no_verdict_on_resume() -> None:
-    async with fronts(2, NAMES) as here:
-        first = await here.probing()
-        os.kill(here.worlds[first].process.pid, signal.SIGSTOP)
-        second = await here.probing(first)
-        here.caches.silent.add(1)
-        await here.worlds[second].logged(BAD_LOGGED)
-        await wait_for_verdict(here, second, True)
-        rulings_logged = here.worlds[first].output.count(b"ruled")
-        os.kill(here.worlds[first].process.pid, signal.SIGCONT)
+    async with fronts(2, NAMES) as running_fronts:
+        first = await running_fronts.wait_for_owner()
+        os.kill(running_fronts.testbeds[first].process.pid, signal.SIGSTOP)
+        second = await running_fronts.wait_for_owner(first)
+        running_fronts.caches.silent.add(1)
+        await running_fronts.testbeds[second].logged(BAD_LOGGED)
+        await wait_for_verdict(running_fronts, second, True)
+        rulings_logged = running_fronts.testbeds[first].output.count(b"ruled")
+        os.kill(running_fronts.testbeds[first].process.pid, signal.SIGCONT)
         await anyio.sleep(1.0)
-        assert here.worlds[first].output.count(b"ruled") == rulings_logged
-        await wait_for_verdict(here, first, True)  # after it resumes, it applies the other prober's verdict
+        assert running_fronts.testbeds[first].output.count(b"ruled") == rulings_logged
+        await wait_for_verdict(
+            running_fronts, first, True
+        )  # after it resumes, it applies the other prober's verdict
 
 
 async def test_one_front_reads_the_change_log_for_all_and_a_drain_reaches_every_front() -> None:
-    async with fronts(3, NAMES) as here:
-        reader = await here.probing(task="list")
+    async with fronts(3, NAMES) as running_fronts:
+        reader = await running_fronts.wait_for_owner(task="list")
         others = [index for index in range(3) if index != reader]
         await anyio.sleep(3.0)  # a long poll is 2 s: those in flight have ended
-        counts = [len(front.polled) for front in here.worlds]
+        counts = [len(front.polled) for front in running_fronts.testbeds]
         await anyio.sleep(3.0)
-        new_polls = [len(front.polled) - count for front, count in zip(here.worlds, counts, strict=True)]
+        new_polls = [
+            len(front.polled) - count for front, count in zip(running_fronts.testbeds, counts, strict=True)
+        ]
         assert new_polls[reader] >= 1 and [new_polls[index] for index in others] == [0, 0]
         # A drain is logged: the reader receives it by its poll, the others by its update.
-        for front in here.worlds:
-            drained = front.line("cache-2", status="leaving")
-            front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
+        for front in running_fronts.testbeds:
+            drained = front.endpoint_entry("cache-2", status="leaving")
+            front.add_event(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
         before = anyio.current_time()
-        await wait_for_verdict(here, others[0], True)
-        assert len(here.worlds[others[0]].polled) == counts[others[0]] and anyio.current_time() - before < 2.0
+        await wait_for_verdict(running_fronts, others[0], True)
+        assert (
+            len(running_fronts.testbeds[others[0]].polled) == counts[others[0]]
+            and anyio.current_time() - before < 2.0
+        )
         # The reader dies: each front polls itself until another is the reader.
-        here.worlds[reader].process.kill()
-        await here.probing(reader, task="list")
-        for front in here.worlds:
-            ready = front.line("cache-2", status="active")
-            front.tell(fleet={"index": 3, "snapshot": False, "endpoints": [ready]})
+        running_fronts.testbeds[reader].process.kill()
+        await running_fronts.wait_for_owner(reader, task="list")
+        for front in running_fronts.testbeds:
+            ready = front.endpoint_entry("cache-2", status="active")
+            front.add_event(fleet={"index": 3, "snapshot": False, "endpoints": [ready]})
         for index in others:
-            await wait_for_verdict(here, index, False)
+            await wait_for_verdict(running_fronts, index, False)
 
 
 async def test_a_front_cut_off_from_the_service_polls_the_change_log_itself() -> None:
-    async with fronts(2, NAMES) as here:
-        reader = await here.probing(task="list")
+    async with fronts(2, NAMES) as running_fronts:
+        reader = await running_fronts.wait_for_owner(task="list")
         other = 1 - reader
         await anyio.sleep(2.5)
-        await here.links[other].set_cut()
-        front = here.worlds[other]
-        drained = front.line("cache-2", status="leaving")
-        front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
-        await front.polled_from(2)  # within the bound of 2.5 s and a poll
-        await wait_for_verdict(here, other, True)
+        await running_fronts.links[other].set_cut()
+        front = running_fronts.testbeds[other]
+        drained = front.endpoint_entry("cache-2", status="leaving")
+        front.add_event(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
+        await front.wait_for_poll_since(2)  # within the bound of 2.5 s and a poll
+        await wait_for_verdict(running_fronts, other, True)
 
 
 async def test_without_a_service_the_front_serves_as_without_a_fleet() -> None:
-    async with fronts(1, NAMES) as here:
-        here.etcd.kill()
-        await here.etcd.wait()
-        assert await count_served(here, 0, 40, 1) == 40
-        assert await here.worlds[0].stop()
+    async with fronts(1, NAMES) as running_fronts:
+        running_fronts.etcd.kill()
+        await running_fronts.etcd.wait()
+        assert await count_served(running_fronts, 0, 40, 1) == 40
+        assert await running_fronts.testbeds[0].stop()
 
 
 INVALID_TERMS = {
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -20,7 +20,7 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from tests.drive import ENDS, SAMPLE, Got, fields_of, frame, order, resp, world
+from tests.drive import ENDS, SAMPLE, ReceivedFrame, client_request, fields_of, frame, front_testbed, resp
 
 pytestmark = pytest.mark.anyio
 TAG, OBJECT = "4be0c1927d55a6f3", "7f3a9c21e0b4d655"
@@ -33,12 +33,12 @@
 
 async def test_a_request_sent_byte_by_byte_is_served_and_its_body_is_intact(tmp_path: Path) -> None:
     body = os.urandom(200_000)
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
         await testbed.logged(b"discovery confirms")
         await caller.send(frame(32, 7))
-        assert await caller.next() == Got(33, 7, 1)
-        for byte in order(1, body=b"as it is", got=TAG):
+        assert await caller.next() == ReceivedFrame(33, 7, 1)
+        for byte in client_request(1, body=b"as it is", got=TAG):
             await caller.send(bytes([byte]))
         lookup = await testbed.caches["cache-1"].next()
         assert lookup.parts[:2] == ["REQ", f"{1:016x}"] and lookup.body == b"as it is"
@@ -49,18 +49,22 @@
         fill = await testbed.caches["cache-1"].next()
         assert fill.fields["via"] == "parent-1" and fill.fields["tier"] == "1"
         await fill.answer("DONE", f"tag={TAG},minted=1,why=fetched,lag=3.5", body)
-        assert await caller.next() == Got(17, 1, 1, {}, body)
-        await caller.send(order(2, got=TAG))
+        assert await caller.next() == ReceivedFrame(17, 1, 1, {}, body)
+        await caller.send(client_request(2, got=TAG))
         await (await testbed.caches["cache-1"].next()).answer("KEEP", f"tag={TAG},minted=1,why=cached")
-        assert await caller.next() == Got(17, 2, 1, {"ok304": "1"})
+        assert await caller.next() == ReceivedFrame(17, 2, 1, {"ok304": "1"})
         counts = await testbed.stop()
         assert counts["answer.served"] == 2 and counts["relay.lack"] == 1 and counts["relay.done"] == 1
 
 
 async def test_answers_in_any_order_reach_the_right_streams_of_one_connection(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1), order(2, item="00000000000000aa"), order(3, item="00000000000000bb"))
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(
+            client_request(1),
+            client_request(2, item="00000000000000aa"),
+            client_request(3, item="00000000000000bb"),
+        )
         attempts = [await testbed.caches["cache-1"].next() for _ in range(3)]
         for attempt in reversed(attempts):
             await attempt.answer("DONE", f"tag={TAG},minted=1,why=cached", attempt.id.encode())
@@ -70,19 +74,19 @@
 @pytest.mark.parametrize(
     ("raw", "stream", "reason"),
     [
-        (order(1, txn=None), 1, "txn"),
-        (order(1, item="xyz"), 1, "item"),
-        (order(1, limit="soon"), 1, "limit"),
-        (order(1, limit="0"), 1, "limit"),
-        (order(1, nth="-1"), 1, "nth"),
-        (order(1, nth="\u0663"), 1, "nth"),
-        (order(1, ram="nan"), 1, "ram"),
-        (order(1, ram="4_1"), 1, "ram"),
-        (order(1, limit=" 15"), 1, "limit"),
+        (client_request(1, txn=None), 1, "txn"),
+        (client_request(1, item="xyz"), 1, "item"),
+        (client_request(1, limit="soon"), 1, "limit"),
+        (client_request(1, limit="0"), 1, "limit"),
+        (client_request(1, nth="-1"), 1, "nth"),
+        (client_request(1, nth="\u0663"), 1, "nth"),
+        (client_request(1, ram="nan"), 1, "ram"),
+        (client_request(1, ram="4_1"), 1, "ram"),
+        (client_request(1, limit=" 15"), 1, "limit"),
         (frame(16, 1, b"\x02" + 2 * fields_of({"verb": "maps"})[1:]), 1, "twice"),
-        (order(1, batch="300"), 1, "batch"),
-        (order(1, got="short"), 1, "got"),
-        (order(1, verb="unheard"), 1, "verb"),
+        (client_request(1, batch="300"), 1, "batch"),
+        (client_request(1, got="short"), 1, "got"),
+        (client_request(1, verb="unheard"), 1, "verb"),
         (frame(16, 1, fields_of({"verb": "maps"})[:-2]), 1, "fields"),
         (frame(16, 0, b"\0"), 0, "new"),
         (frame(99, 5), 0, "99"),
@@ -91,25 +95,25 @@
 async def test_invalid_client_input_is_answered_with_a_reason_and_reaches_no_cache(
     tmp_path: Path, raw: bytes, stream: int, reason: str
 ) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
         await caller.send(raw)
         got = await caller.next()
         assert (got.type, got.stream, got.code) == (17, stream, 3) and reason in got.fields["reason"]
         assert await caller.ended()  # a client left connected would send the same again at once
-        other = await testbed.call()
-        await other.send(order(2))
+        other = await testbed.connect_client()
+        await other.send(client_request(2))
         await (await testbed.caches["cache-1"].next()).answer("DONE", f"tag={TAG},minted=1", b"fine")
         assert (await other.next()).body == b"fine"
-        assert [attempt.id for attempt in testbed.caches["cache-1"].asked] == [f"{2:016x}"]
+        assert [attempt.id for attempt in testbed.caches["cache-1"].commands] == [f"{2:016x}"]
 
 
 async def test_a_framing_error_closes_the_connection_after_its_open_pulls_are_answered(
     tmp_path: Path,
 ) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1), b"\xff\xff\xff\xff\0\0\0\0\0")
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1), b"\xff\xff\xff\xff\0\0\0\0\0")
         got = await caller.next()
         assert (got.stream, got.code) == (0, 3)
         await (await testbed.caches["cache-1"].next()).answer("DONE", f"tag={TAG},minted=1", b"still")
@@ -118,47 +122,47 @@
 
 
 async def test_a_33rd_open_pull_and_a_reused_stream_are_rejected(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
-        await caller.send(*(order(stream) for stream in range(1, 34)), order(34))
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(*(client_request(stream) for stream in range(1, 34)), client_request(34))
         rejected = await caller.next()
         assert (rejected.stream, rejected.code) == (33, 3) and "many" in rejected.fields["reason"]
         for _ in range(32):
             await (await testbed.caches["cache-1"].next()).answer("DONE", f"tag={TAG},minted=1", b"x")
         assert sorted([(await caller.next()).stream for _ in range(32)]) == list(range(1, 33))
         assert await caller.ended()
-        other = await testbed.call()
-        await other.send(order(5), order(5, txn="a" * 16))
+        other = await testbed.connect_client()
+        await other.send(client_request(5), client_request(5, txn="a" * 16))
         reused = await other.next()
         assert (reused.stream, reused.code) == (0, 3) and "new" in reused.fields["reason"]
 
 
 async def test_a_request_id_that_is_open_is_rejected_on_any_connection(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller, other = await testbed.call(), await testbed.call()
-        await caller.send(order(1))
+    async with front_testbed(tmp_path) as testbed:
+        caller, other = await testbed.connect_client(), await testbed.connect_client()
+        await caller.send(client_request(1))
         attempt = await testbed.caches["cache-1"].next()
-        await other.send(order(1, item="00000000000000aa"))
+        await other.send(client_request(1, item="00000000000000aa"))
         got = await other.next()
         assert (got.stream, got.code) == (1, 3) and "txn" in got.fields["reason"] and await other.ended()
         await attempt.answer("DONE", f"tag={TAG},minted=1", b"x")
         assert (await caller.next()).body == b"x"
-        await caller.send(order(2, txn=f"{1:016x}"))  # no longer open
+        await caller.send(client_request(2, txn=f"{1:016x}"))  # no longer open
         assert (await testbed.caches["cache-1"].next()).fields["name"] == OBJECT
 
 
 async def test_a_cache_that_answers_only_keep_alives_gets_a_stop_before_the_next_relay(
     tmp_path: Path,
 ) -> None:
-    async with world(tmp_path, "cache-2") as testbed:
+    async with front_testbed(tmp_path, "cache-2") as testbed:
         testbed.caches["cache-1"].alive = testbed.caches["cache-2"].alive = True
-        caller = await testbed.call()
-        await caller.send(order(1))
-        first = await testbed.first()
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1))
+        first = await testbed.next_command()
         other = testbed.caches["cache-2" if first.cache.name == "cache-1" else "cache-1"]
         stop = await first.cache.next()
-        assert stop.parts == ["STOP", first.id] and not other.asked
-        assert first.cache.doubted >= 1 and not first.cache.ended
+        assert stop.parts == ["STOP", first.id] and not other.commands
+        assert first.cache.keep_alive_checks >= 1 and not first.cache.ended
         second = await other.next()
         await first.answer("DONE", f"tag={TAG},minted=1", b"late")
         await second.answer("DONE", f"tag={TAG},minted=1", b"in time")
@@ -171,26 +175,28 @@
 async def test_a_silent_connection_is_closed_and_its_relays_are_retried_elsewhere(
     tmp_path: Path, half: bytes
 ) -> None:
-    async with world(tmp_path, "cache-2") as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1, ram="400"))
-        first = await testbed.first()
+    async with front_testbed(tmp_path, "cache-2") as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1, ram="400"))
+        first = await testbed.next_command()
         other = testbed.caches["cache-2" if first.cache.name == "cache-1" else "cache-1"]
         await first.stream.send(half)
-        await testbed.news.until(lambda: first.cache.ended)  # long before its relay times out
-        assert first.cache.doubted == (not half) and len(first.cache.asked) == 1  # no stop was sent
-        second = await testbed.first()
+        await testbed.notifier.wait_until(lambda: first.cache.ended)  # long before its relay times out
+        assert (
+            first.cache.keep_alive_checks == (not half) and len(first.cache.commands) == 1
+        )  # no stop was sent
+        second = await testbed.next_command()
         assert second.id == first.id and second.cache is other
         await second.answer("DONE", f"tag={TAG},minted=1", b"anew")
         assert (await caller.next()).body == b"anew"
 
 
 async def test_unrequested_answers_do_not_affect_other_relays_on_the_connection(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller, cache = await testbed.call(), testbed.caches["cache-1"]
-        await caller.send(order(1))
+    async with front_testbed(tmp_path) as testbed:
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
+        await caller.send(client_request(1))
         lookup = await cache.next()
-        await caller.send(order(2, item="00000000000000aa"))
+        await caller.send(client_request(2, item="00000000000000aa"))
         other = await cache.next()
         stray = resp("f" * 16, "DONE", f"tag={TAG},minted=1", b"nobody's")
         lack = resp(lookup.id, "LACK", "-", b"")
@@ -203,29 +209,29 @@
         assert (await caller.next()).body == b"one"
         for _ in range(40):
             await lookup.stream.send(stray)
-        await testbed.news.until(lambda: cache.ended)  # it sent too many stray answers
+        await testbed.notifier.wait_until(lambda: cache.ended)  # it sent too many stray answers
         counts = await testbed.stop()
         assert counts["answer.served"] == 2 and counts["peer.late_answer"] == 1
         assert counts["peer.stray_answer"] > 32 and counts["peer.bad_input"] == 1
 
 
 async def test_a_not_modified_answer_to_a_client_without_a_copy_is_not_passed_on(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1))
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1))
         await (await testbed.caches["cache-1"].next()).answer("KEEP", f"tag={TAG},minted=1")
-        await testbed.news.until(lambda: testbed.caches["cache-1"].ended)
+        await testbed.notifier.wait_until(lambda: testbed.caches["cache-1"].ended)
         counts = await testbed.stop()
         assert counts["peer.bad_input"] == 1 and "answer.served" not in counts
 
 
 async def test_a_pull_is_retried_elsewhere_after_a_broken_or_malformed_connection(tmp_path: Path) -> None:
-    async with world(tmp_path, "cache-2", "cache-3") as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1))
-        first = await testbed.first()
+    async with front_testbed(tmp_path, "cache-2", "cache-3") as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1))
+        first = await testbed.next_command()
         await first.stream.send(b"$nonsense\r\n")
-        second = await testbed.first()
+        second = await testbed.next_command()
         assert second.cache is not first.cache
         await second.stream.aclose()
         got = await caller.next()  # the third is silent, and no retry tokens are left
@@ -235,13 +241,13 @@
 
 
 async def test_a_cache_that_refuses_connections_fails_no_pull(tmp_path: Path) -> None:
-    async with world(tmp_path, "cache-2") as testbed:
-        unreachable = testbed.line("cache-1", address="127.0.0.1:1")
-        testbed.tell(fleet={"index": 2, "snapshot": False, "endpoints": [unreachable]})
-        await testbed.polled_from(2)
-        caller = await testbed.call()
+    async with front_testbed(tmp_path, "cache-2") as testbed:
+        unreachable = testbed.endpoint_entry("cache-1", address="127.0.0.1:1")
+        testbed.add_event(fleet={"index": 2, "snapshot": False, "endpoints": [unreachable]})
+        await testbed.wait_for_poll_since(2)
+        caller = await testbed.connect_client()
         for stream in range(1, 9):
-            await caller.send(order(stream, item=f"{stream:016x}"))
+            await caller.send(client_request(stream, item=f"{stream:016x}"))
             await (await testbed.caches["cache-2"].next()).answer("DONE", f"tag={TAG},minted=1", b"x")
             assert (await caller.next()).code == 1
         counts = await testbed.stop()
@@ -249,56 +255,58 @@
 
 
 async def test_the_relay_of_a_client_that_hangs_up_is_stopped(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1))
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1))
         attempt = await testbed.caches["cache-1"].next()
         await caller.send(frame(18, 1))
         assert (await testbed.caches["cache-1"].next()).parts == ["STOP", attempt.id]
-        await caller.send(order(2))
+        await caller.send(client_request(2))
         second = await testbed.caches["cache-1"].next()
         await caller.stream.aclose()
         assert (await testbed.caches["cache-1"].next()).parts == ["STOP", second.id]
 
 
 async def test_a_purge_and_a_drain_apply_to_the_next_pull(tmp_path: Path) -> None:
-    async with world(tmp_path, "cache-2") as testbed:
-        drained = testbed.line("cache-1", status="leaving")
-        testbed.tell(invalidate={"object": OBJECT, "time": round(1000.0 * time.time()) - 3000})
-        testbed.tell(invalidate={"bucket": 18, "time": 1})
-        testbed.tell(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
-        await testbed.polled_from(4)
-        caller = await testbed.call()
+    async with front_testbed(tmp_path, "cache-2") as testbed:
+        drained = testbed.endpoint_entry("cache-1", status="leaving")
+        testbed.add_event(invalidate={"object": OBJECT, "time": round(1000.0 * time.time()) - 3000})
+        testbed.add_event(invalidate={"bucket": 18, "time": 1})
+        testbed.add_event(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
+        await testbed.wait_for_poll_since(4)
+        caller = await testbed.connect_client()
         for stream, batch in ((1, "17"), (2, "18")):
             item = f"{int(OBJECT, 16) + stream - 1:016x}"
-            await caller.send(order(stream, verb="grids", item=item, batch=batch))
+            await caller.send(client_request(stream, verb="grids", item=item, batch=batch))
             attempt = await testbed.caches["cache-2"].next()
             # An event dated 1970 counts as at most 10 s old, which is the stricter bound on copies.
             oldest = int(attempt.fields["fresh"])
             assert 3000 <= oldest < 6000 if stream == 1 else 9900 <= oldest < 14_000
-        assert not testbed.caches["cache-1"].asked
+        assert not testbed.caches["cache-1"].commands
 
 
 async def test_invalid_discovery_answers_leave_the_list_unchanged_and_polling_recovers(
     tmp_path: Path,
 ) -> None:
-    async with world(tmp_path, "cache-2") as testbed:
-        unknown_zone = testbed.line("cache-1", zone="nowhere")
+    async with front_testbed(tmp_path, "cache-2") as testbed:
+        unknown_zone = testbed.endpoint_entry("cache-1", zone="nowhere")
         unusable = {"seq": 2, "fleet": {"snapshot": False, "endpoints": [unknown_zone]}}
-        nameless = {key: value for key, value in testbed.line("cache-1").items() if key != "name"}
+        nameless = {key: value for key, value in testbed.endpoint_entry("cache-1").items() if key != "name"}
         answers = [
             b"{", b"[]", b'{"seq":9}',
             json.dumps({"seq": 7, "results": [{"seq": 7, "invalidate": {"bucket": 1, "time": 1}}]}).encode(),
             json.dumps({"seq": 2, "results": [unusable]}).encode(),
             json.dumps(testbed.config["known"]).encode(),  # already known to the front
         ]  # fmt: skip
-        await testbed.break_log(*answers)
-        testbed.tell(fleet={"snapshot": False, "endpoints": [nameless]})  # never usable: skipped
-        testbed.tell(fleet={"snapshot": False, "endpoints": [testbed.line("cache-1", status="left")]})
-        await testbed.polled_from(3)
-        caller = await testbed.call()
+        await testbed.send_poll_answers(*answers)
+        testbed.add_event(fleet={"snapshot": False, "endpoints": [nameless]})  # never usable: skipped
+        testbed.add_event(
+            fleet={"snapshot": False, "endpoints": [testbed.endpoint_entry("cache-1", status="left")]}
+        )
+        await testbed.wait_for_poll_since(3)
+        caller = await testbed.connect_client()
         for stream in range(1, 9):
-            await caller.send(order(stream, item=f"{stream:016x}"))
+            await caller.send(client_request(stream, item=f"{stream:016x}"))
             await (await testbed.caches["cache-2"].next()).answer("DONE", f"tag={TAG},minted=1", b"x")
             assert (await caller.next()).code == 1
         counts = await testbed.stop()
@@ -307,16 +315,22 @@
 
 
 async def test_a_new_cache_may_reuse_the_address_of_a_removed_one(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller, cache = await testbed.call(), testbed.caches["cache-1"]
+    async with front_testbed(tmp_path) as testbed:
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
         updates = [
-            [testbed.line("cache-1", status="left"), testbed.line("cache-1", name="cache-9")],
-            [testbed.line("cache-1", name="cache-9", status="left"), testbed.line("cache-1", since_ms=1)],
+            [
+                testbed.endpoint_entry("cache-1", status="left"),
+                testbed.endpoint_entry("cache-1", name="cache-9"),
+            ],
+            [
+                testbed.endpoint_entry("cache-1", name="cache-9", status="left"),
+                testbed.endpoint_entry("cache-1", since_ms=1),
+            ],
         ]
         for stream, lines in enumerate(updates, 1):
-            testbed.tell(fleet={"snapshot": False, "endpoints": lines})
-            await testbed.polled_from(1 + stream)
-            await caller.send(order(stream))
+            testbed.add_event(fleet={"snapshot": False, "endpoints": lines})
+            await testbed.wait_for_poll_since(1 + stream)
+            await caller.send(client_request(stream))
             await (await cache.next()).answer("DONE", f"tag={TAG},minted=1", b"x")
             assert (await caller.next()).code == 1
         counts = await testbed.stop()
@@ -324,16 +338,16 @@
 
 
 async def test_after_sigterm_open_and_new_pulls_are_answered(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1))
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1))
         attempt = await testbed.caches["cache-1"].next()
         testbed.process.send_signal(signal.SIGTERM)
         assert (await caller.next()).type == 48
-        late = await testbed.call()
+        late = await testbed.connect_client()
         assert (await late.next()).type == 48
-        await late.send(frame(32, 1), order(2))
-        assert await late.next() == Got(33, 1, 2)
+        await late.send(frame(32, 1), client_request(2))
+        assert await late.next() == ReceivedFrame(33, 1, 2)
         await (await testbed.caches["cache-1"].next()).answer("DONE", f"tag={TAG},minted=1", b"two")
         assert (await late.next()).body == b"two"
         await attempt.answer("DONE", f"tag={TAG},minted=1", b"one")
@@ -344,8 +358,8 @@
 
 async def test_shutdown_waits_for_a_partly_read_request_despite_further_signals(tmp_path: Path) -> None:
     """Shutdown would end at 0.7 s, but waits for a frame that has begun; further signals change nothing."""
-    async with world(tmp_path) as testbed:
-        caller, raw = await testbed.call(), order(1, body=bytes(70_000))
+    async with front_testbed(tmp_path) as testbed:
+        caller, raw = await testbed.connect_client(), client_request(1, body=bytes(70_000))
         await caller.send(frame(32, 1), raw[:60_000])
         # The frame before it is answered, so the request has begun to arrive.
         assert (await caller.next()).type == 33
@@ -366,11 +380,11 @@
 async def test_a_slow_reader_gets_the_whole_of_an_answer_written_just_before_shutdown(tmp_path: Path) -> None:
     """Guards against the process exit truncating or resetting what a client has not read yet."""
     body = os.urandom(240_000)
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
         sock = caller.stream.extra(SocketAttribute.raw_socket)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        await caller.send(order(1, ram="1"))
+        await caller.send(client_request(1, ram="1"))
         attempt = await testbed.caches["cache-1"].next()
         testbed.process.send_signal(signal.SIGTERM)
         await testbed.logged(b"drains")
@@ -384,12 +398,12 @@
 
 async def test_a_client_that_does_not_read_delays_no_other_client(tmp_path: Path) -> None:
     body = bytes(240_000)
-    async with world(tmp_path) as testbed:
-        slow, quick = await testbed.call(), await testbed.call()
-        await slow.send(*(order(stream, item=f"{stream:016x}") for stream in range(1, 33)))
+    async with front_testbed(tmp_path) as testbed:
+        slow, quick = await testbed.connect_client(), await testbed.connect_client()
+        await slow.send(*(client_request(stream, item=f"{stream:016x}") for stream in range(1, 33)))
         for _ in range(32):
             await (await testbed.caches["cache-1"].next()).answer("DONE", f"tag={TAG},minted=1", body)
-        await quick.send(order(1))
+        await quick.send(client_request(1))
         await (await testbed.caches["cache-1"].next()).answer("DONE", f"tag={TAG},minted=1", body)
         assert (await quick.next()).body == body
         for _ in range(32):
@@ -399,16 +413,16 @@
 
 
 async def test_at_the_connection_limit_a_new_client_replaces_the_longest_idle_one(tmp_path: Path) -> None:
-    async with world(tmp_path, sockets=36) as testbed:
-        first = await testbed.call()
-        await first.send(order(1))
+    async with front_testbed(tmp_path, sockets=36) as testbed:
+        first = await testbed.connect_client()
+        await first.send(client_request(1))
         attempt = await testbed.caches["cache-1"].next()
-        callers = [await testbed.call() for _ in range(17)]  # with the first, half of 36
+        callers = [await testbed.connect_client() for _ in range(17)]  # with the first, half of 36
         for caller in callers:
             await caller.send(frame(32, 1))
             assert (await caller.next()).code == 1
         for idle in callers[:3]:
-            late = await testbed.call()
+            late = await testbed.connect_client()
             await late.send(frame(32, 1))
             assert (await late.next()).code == 1 and await idle.ended()
             await idle.stream.aclose()  # as clients do; otherwise the front closes it after 50 ms
@@ -420,10 +434,10 @@
 
 
 async def test_connections_without_a_complete_request_are_closed_in_time(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        silent, half = await testbed.call(), await testbed.call()
+    async with front_testbed(tmp_path) as testbed:
+        silent, half = await testbed.connect_client(), await testbed.connect_client()
         began = anyio.current_time()
-        await half.send(order(1)[:20])
+        await half.send(client_request(1)[:20])
         assert await silent.ended() and await half.ended() and anyio.current_time() < began + 3.0
         counts = await testbed.stop()
         assert counts["client.overdue"] == 2
@@ -432,27 +446,27 @@
 async def test_a_reload_switches_to_another_discovery_service_and_keeps_the_sequence_number(
     tmp_path: Path,
 ) -> None:
-    async with world(tmp_path, "cache-2") as testbed:
-        caller, cache = await testbed.call(), testbed.caches["cache-2"]
-        testbed.tell(invalidate={"object": OBJECT, "time": 1})
-        await testbed.polled_from(2)
-        await caller.send(order(1, item="00000000000000aa"))
-        open_attempt = await testbed.first()
-        testbed.config["changelog"] = await testbed.listen(testbed.change_log)
+    async with front_testbed(tmp_path, "cache-2") as testbed:
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-2"]
+        testbed.add_event(invalidate={"object": OBJECT, "time": 1})
+        await testbed.wait_for_poll_since(2)
+        await caller.send(client_request(1, item="00000000000000aa"))
+        open_attempt = await testbed.next_command()
+        testbed.config["changelog"] = await testbed.listen(testbed.serve_discovery)
         testbed.config["limits"]["sockets"] = 64
         testbed.config["seed"] = "1"
         testbed.polled.clear()
         await testbed.reload()
-        await testbed.polled_from(2)
+        await testbed.wait_for_poll_since(2)
         assert testbed.polled == [2] and b"configuration: seed: has changed" in testbed.output
-        drained = testbed.line("cache-1", status="leaving")
-        testbed.tell(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
-        await testbed.polled_from(3)
+        drained = testbed.endpoint_entry("cache-1", status="leaving")
+        testbed.add_event(fleet={"index": 2, "snapshot": False, "endpoints": [drained]})
+        await testbed.wait_for_poll_since(3)
         await open_attempt.answer("DONE", f"tag={TAG},minted=1", b"open")
         assert (await caller.next()).body == b"open"
-        cache.seen = len(cache.asked)
+        cache.taken = len(cache.commands)
         for stream in range(2, 6):
-            await caller.send(order(stream, item=f"{stream:016x}"))
+            await caller.send(client_request(stream, item=f"{stream:016x}"))
             await (await cache.next()).answer("DONE", f"tag={TAG},minted=1", b"x")
             assert (await caller.next()).code == 1
         counts = await testbed.stop()
@@ -463,11 +477,11 @@
 async def test_an_invalid_reload_keeps_the_running_configuration(
     tmp_path: Path, text: str, named: str
 ) -> None:
-    async with world(tmp_path) as testbed:
+    async with front_testbed(tmp_path) as testbed:
         await testbed.reload(text)
         assert named.encode() in testbed.output
-        testbed.tell(invalidate={"object": OBJECT, "time": 1})
-        await testbed.polled_from(2)
+        testbed.add_event(invalidate={"object": OBJECT, "time": 1})
+        await testbed.wait_for_poll_since(2)
         await testbed.reload()
         testbed.process.send_signal(signal.SIGHUP)
         counts = await testbed.stop()
@@ -475,9 +489,9 @@
 
 
 async def test_counters_are_logged_on_sigusr1(tmp_path: Path) -> None:
-    async with world(tmp_path) as testbed:
-        caller = await testbed.call()
-        await caller.send(order(1))
+    async with front_testbed(tmp_path) as testbed:
+        caller = await testbed.connect_client()
+        await caller.send(client_request(1))
         await (await testbed.caches["cache-1"].next()).answer("DONE", f"tag={TAG},minted=1", b"x")
         assert (await caller.next()).code == 1
         testbed.process.send_signal(signal.SIGUSR1)
@@ -520,24 +534,24 @@
 
 async def test_clients_that_do_not_read_are_closed_when_buffers_run_short(tmp_path: Path) -> None:
     body = bytes(240_000)
-    async with world(tmp_path, memory_mb=40) as testbed:
+    async with front_testbed(tmp_path, memory_mb=40) as testbed:
 
         async def answer_all() -> None:
             while True:
                 attempt = await testbed.caches["cache-1"].next()
                 with suppress(*ENDS):  # the front may have closed the connection meanwhile
-                    await attempt.answer("DONE" if attempt.word == "REQ" else "PAST", "-", body)
+                    await attempt.answer("DONE" if attempt.verb == "REQ" else "PAST", "-", body)
 
         testbed._tasks.start_soon(answer_all)
-        slow = [await testbed.call() for _ in range(6)]
+        slow = [await testbed.connect_client() for _ in range(6)]
         for number, caller in enumerate(slow, 1):
             ids = [f"{100 * number + stream:016x}" for stream in range(1, 33)]
             await caller.send(
-                *(order(stream_id, item=id, txn=id, ram="1") for stream_id, id in enumerate(ids, 1))
+                *(client_request(stream_id, item=id, txn=id, ram="1") for stream_id, id in enumerate(ids, 1))
             )
-        quick = await testbed.call()
+        quick = await testbed.connect_client()
         for stream in range(1, 1000):
-            await quick.send(order(stream, ram="1"))
+            await quick.send(client_request(stream, ram="1"))
             if (got := await quick.next()).code == 1:
                 break
         assert got.body == body
--- a/tests/test_front_levels.py
+++ b/tests/test_front_levels.py
@@ -15,7 +15,7 @@
 import anyio
 import pytest
 
-from tests.drive import Caller, World, order, world
+from tests.drive import Caller, FrontTestbed, client_request, front_testbed
 from tests.standins.caches import Answer, Caches
 
 pytestmark = pytest.mark.anyio
@@ -46,10 +46,10 @@
         return 0.002, "DONE", f"{CACHED_COPY},rep=util:0.5;x1:{self.utilization():.2f}", b"x"
 
 
-async def send_pulls(front: World, duration_s: float, rate: float, first: int = 0) -> Counter[str]:
+async def send_pulls(front: FrontTestbed, duration_s: float, rate: float, first: int = 0) -> Counter[str]:
     """Request maps and grids at a rate per second, wait for every answer, and count the answers by kind."""
     counts: Counter[str] = Counter()
-    caller: Caller = await front.call()
+    caller: Caller = await front.connect_client()
     open_pulls: dict[int, float] = {}
     started_at, done = time.monotonic(), anyio.Event()
 
@@ -76,20 +76,22 @@
             workload = "maps" if number % 2 else "grids"
             object_id = f"{(first + number) * 2654435761 % (1 << 64):016x}"
             await caller.send(
-                order(number, verb=workload, txn=f"{first + number:016x}", item=object_id, ram="40")
+                client_request(number, verb=workload, txn=f"{first + number:016x}", item=object_id, ram="40")
             )
             await anyio.sleep(max(number / rate - elapsed, 0.0))
         counts["sent"] = number
         done.set()
         number += 1
         open_pulls[number] = time.monotonic()
-        await caller.send(order(number, txn=f"{first + number:016x}"))  # its answer lets the reader end
+        await caller.send(
+            client_request(number, txn=f"{first + number:016x}")
+        )  # its answer lets the reader end
         counts["sent"] += 1
     await caller.stream.aclose()
     return counts
 
 
-def logged_changes(front: World) -> list[str]:
+def logged_changes(front: FrontTestbed) -> list[str]:
     return [line for line in front.output.decode().splitlines() if "level of service: " in line]
 
 
@@ -97,14 +99,14 @@
     path = folder / "operator.jsonnet"
     path.write_text(text)
     addresses = {f"cache-{number + 1}": address for number, address in enumerate(caches.addresses)}
-    return {"operator": path, "at": addresses, "patience": LENGTH_S + 60.0}
+    return {"operator": path, "addresses": addresses, "timeout_s": LENGTH_S + 60.0}
 
 
 async def test_a_link_that_crosses_the_bound_every_second_causes_few_changes(tmp_path: Path) -> None:
     link = SimulatedLink(0.7, 1.6)  # the mean over two seconds is just past the bound
     with Caches(2, link.answer) as caches:
         options = await launch_options(tmp_path, caches, LEVELS % ("", "2s"))
-        async with world(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
+        async with front_testbed(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
             counts = await send_pulls(front, LENGTH_S, 60.0)
             counters = await front.stop()
             changes = logged_changes(front)
@@ -124,14 +126,14 @@
     snapshot_path = tmp_path / "kept"
     with Caches(2, link.answer) as caches:
         options = await launch_options(tmp_path, caches, LEVELS % (snapshot_path, "1s"))
-        async with world(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
+        async with front_testbed(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(send_pulls, front, 3.0, 40.0)
                 await front.logged(b"full to less")
             assert await front.stop()  # SIGTERM in the most reduced level
         line = snapshot_path.read_bytes().split(b"\n")[0]
         assert json.loads(line)["level"] == "less"
-        async with world(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
+        async with front_testbed(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
             await front.logged(b"level of service: less, as before the restart")
             assert (await send_pulls(front, 1.0, 40.0))["shed"] > 5  # from its first second on
             path = options["operator"]
@@ -146,6 +148,6 @@
             await front.stop()
         snapshot_path.write_bytes(b"{}")
         path.write_text(LEVELS % (snapshot_path, "1s"))
-        async with world(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
+        async with front_testbed(tmp_path, "cache-2", **options) as front:  # type: ignore[arg-type]
             await front.logged(b"not kept or not found: torn")
             await front.stop()
--- a/tests/test_front_plans.py
+++ b/tests/test_front_plans.py
@@ -19,7 +19,7 @@
 from cometseam.operator import CompiledConfig
 from cometseam.operator.load import load
 from cometseam.program import OperatorFileReloader
-from tests.drive import SAMPLE, Caller, Got, World, order, world
+from tests.drive import SAMPLE, Caller, FrontTestbed, ReceivedFrame, client_request, front_testbed
 from tests.standins.caches import Answer, Caches
 from tests.test_operator import BAD, EXAMPLE
 
@@ -34,10 +34,10 @@
     return "asyncio"
 
 
-async def wait_for_refusals(front_world: World, previous_count: int) -> None:
+async def wait_for_refusals(testbed: FrontTestbed, previous_count: int) -> None:
     """Wait until the log has more than `previous_count` rejections."""
-    await front_world.news.until(
-        lambda: front_world.output.count(b"; the one that runs stays") > previous_count
+    await testbed.notifier.wait_until(
+        lambda: testbed.output.count(b"; the one that runs stays") > previous_count
     )
 
 
@@ -49,63 +49,63 @@
         file for file in default_settings_files if not file.stem.startswith("text-") or "endless" in file.stem
     ]
     with anyio.fail_after(200):
-        async with world(tmp_path, operator=path, patience=200) as front_world:
+        async with front_testbed(tmp_path, operator=path, timeout_s=200) as testbed:
             for number, file in enumerate(bad, 1):
-                refused_count = front_world.output.count(b"; the one that runs stays")
+                refused_count = testbed.output.count(b"; the one that runs stays")
                 path.write_text(file.read_text())
-                front_world.process.send_signal(signal.SIGHUP)
+                testbed.process.send_signal(signal.SIGHUP)
                 # Each fault is logged on one line; a reload superseded by a newer file logs none.
                 lines = len(file.with_suffix(".reason").read_text().splitlines())
-                await wait_for_refusals(front_world, refused_count + lines - 1)
+                await wait_for_refusals(testbed, refused_count + lines - 1)
                 if number % 16 == 0:  # the front still serves
-                    client = await front_world.call()
-                    await client.send(order(number))
-                    relay = await front_world.first()
+                    client = await testbed.connect_client()
+                    await client.send(client_request(number))
+                    relay = await testbed.next_command()
                     await relay.answer("DONE", ANSWER_FIELDS, b"fine")
                     assert (await client.next()).body == b"fine"
             path.write_text("{ version: 1, default: { relays: 2, until: 'cut-off' } }")
-            front_world.process.send_signal(signal.SIGHUP)
-            await front_world.logged(b"operator's file: taken over, 2 routes")
-            counters = await front_world.stop()
+            testbed.process.send_signal(signal.SIGHUP)
+            await testbed.logged(b"operator's file: taken over, 2 routes")
+            counters = await testbed.stop()
             assert counters["operator.refused"] == len(bad) > 50 and counters["operator.taken"] == 1
 
 
 async def test_a_pull_that_waits_between_relays_keeps_its_plan_across_a_reload(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_text(WAIT_FILE % (2, 2400))
-    async with world(tmp_path, "cache-2", operator=path) as front_world:
-        client = await front_world.call()
-        await client.send(order(1, limit="9000"))
-        await (await front_world.first()).answer("BROKE")
+    async with front_testbed(tmp_path, "cache-2", operator=path) as testbed:
+        client = await testbed.connect_client()
+        await client.send(client_request(1, limit="9000"))
+        await (await testbed.next_command()).answer("BROKE")
         started_at = time.monotonic()
         path.write_text("{ version: 1, default: { relays: 1 } }")
-        front_world.process.send_signal(signal.SIGHUP)
-        await front_world.logged(b"taken over")
+        testbed.process.send_signal(signal.SIGHUP)
+        await testbed.logged(b"taken over")
         assert time.monotonic() - started_at < 2.4, "the reload took longer than the wait"
-        relay = await front_world.first()  # its old plan sends a further relay after the wait
+        relay = await testbed.next_command()  # its old plan sends a further relay after the wait
         assert time.monotonic() - started_at >= 2.38
         await relay.answer("DONE", ANSWER_FIELDS, b"late")
         assert (await client.next()).body == b"late"
-        await client.send(order(2))
-        await (await front_world.first()).answer("BROKE")
+        await client.send(client_request(2))
+        await (await testbed.next_command()).answer("BROKE")
         assert (await client.next()).code == 2  # the new plan sends no further relay
-        await front_world.stop()
+        await testbed.stop()
 
 
 async def test_the_json_log_has_only_declared_events_and_fields(tmp_path: Path) -> None:
     path = tmp_path / "operator.jsonnet"
     path.write_text("{ version: 1 }")
-    async with world(tmp_path, operator=path, log="json", listens=b'"front.listens"') as front_world:
-        client = await front_world.call()
+    async with front_testbed(tmp_path, operator=path, log="json", listens=b'"front.listens"') as testbed:
+        client = await testbed.connect_client()
         await client.send(b"\xff" * 64)
         assert await client.next() and await client.ended()
         path.write_text("{ version: 3 }")
-        front_world.process.send_signal(signal.SIGHUP)
-        await front_world.logged(b'"operator.refused"')
-        front_world.process.send_signal(signal.SIGTERM)
-        assert await front_world.process.wait() == 0
-        await front_world.logged(b'"at exit"')
-        lines = [json.loads(line) for line in front_world.output.decode().splitlines()]
+        testbed.process.send_signal(signal.SIGHUP)
+        await testbed.logged(b'"operator.refused"')
+        testbed.process.send_signal(signal.SIGTERM)
+        assert await testbed.process.wait() == 0
+        await testbed.logged(b'"at exit"')
+        lines = [json.loads(line) for line in testbed.output.decode().splitlines()]
         for line in lines:
             spec = EVENTS[line["event"]]
             fields = {key: value for key, value in line.items() if key not in ("time", "level", "event")}
@@ -125,7 +125,7 @@
 
 
 @asynccontextmanager
-async def world_with_caches(folder: Path, caches: Caches, plans: str) -> AsyncIterator[World]:
+async def front_with_caches(folder: Path, caches: Caches, plans: str) -> AsyncIterator[FrontTestbed]:
     """Run the program with simulated caches that run on a thread of their own."""
     path = folder / "operator.jsonnet"
     path.write_text(plans)
@@ -133,10 +133,10 @@
     for number, address in enumerate(caches.addresses):
         named_addresses.append((f"cache-{number + 1}", address))
     other_names = (name for name, _ in named_addresses[1:])
-    async with world(
-        folder, *other_names, operator=path, patience=120, at=dict(named_addresses)
-    ) as front_world:
-        yield front_world
+    async with front_testbed(
+        folder, *other_names, operator=path, timeout_s=120, addresses=dict(named_addresses)
+    ) as testbed:
+        yield testbed
 
 
 async def test_with_a_stalling_cache_second_relays_never_leave_two_in_flight(tmp_path: Path) -> None:
@@ -155,16 +155,16 @@
     served: dict[str, list[tuple[float, str]]] = {"maps": [], "grids": []}
     answers: dict[int, int] = {}
     with Caches(3, behave) as caches:
-        async with world_with_caches(tmp_path, caches, SECOND_RELAY_FILE) as front_world:
+        async with front_with_caches(tmp_path, caches, SECOND_RELAY_FILE) as testbed:
 
             async def client(first: int, pull_count: int) -> None:
-                caller: Caller = await front_world.call()
+                caller: Caller = await testbed.connect_client()
                 open_pulls: dict[int, tuple[float, str]] = {}
                 slots = anyio.Semaphore(MAX_OPEN_PULLS)
 
                 async def read() -> None:
                     for _ in range(pull_count):
-                        answer: Got = await caller.next()
+                        answer: ReceivedFrame = await caller.next()
                         sent_at, lane = open_pulls.pop(answer.stream)
                         answers[answer.code] = answers.get(answer.code, 0) + 1
                         if answer.code == 1:
@@ -180,13 +180,15 @@
                         item = f"{(first + number) * 2654435761 % (1 << 64):016x}"
                         transaction = f"{first + number:016x}"
                         await caller.send(
-                            order(number, verb=lane, txn=transaction, limit="2500", item=item, ram="40")
+                            client_request(
+                                number, verb=lane, txn=transaction, limit="2500", item=item, ram="40"
+                            )
                         )
 
             async with anyio.create_task_group() as tasks:
                 for number in range(4):
                     tasks.start_soon(client, number * 10_000, PULL_COUNT // 4)
-            counters = await front_world.stop()
+            counters = await testbed.stop()
         assert caches.two_out == []
     assert sum(answers.values()) == PULL_COUNT and answers[1] > 0.98 * PULL_COUNT
     assert counters["relay.given_up"] > 25  # second relays were sent
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -11,8 +11,8 @@
 import pytest
 
 from cometseam import interface as i
-from tests.drive import SERVERS, SETTINGS, line
-from tests.standins.scripted import Behave, Said, World
+from tests.drive import SERVERS, SETTINGS, cache_entry
+from tests.standins.scripted import Behaviour, FrontSimulation, ScriptedReply
 
 PULL_COUNT = 1500
 PULL_INTERVAL_MS = 12.0
@@ -20,17 +20,17 @@
 FRONT_SETTINGS = replace(SETTINGS, workloads=(WORKLOAD,), stream_rate=3.0)
 
 
-def slowed_down_caches(slowdown: float) -> Behave:
+def slowed_down_caches(slowdown: float) -> Behaviour:
     """Return the behaviour of caches that hold three in four objects and send slower than usual.
 
     Each answer takes about `slowdown` times its sending time.
     """
 
-    def behave(now: float, relay: i.Relay, pull: i.Pull, random: Random) -> Said:
+    def behave(now: float, relay: i.Relay, pull: i.Pull, random: Random) -> ScriptedReply:
         if relay.source == relay.cache and hash_object(pull.object) % 4 == 0:
-            return Said(1.0, i.Outcome.MISS, i.Remark.NONE)
+            return ScriptedReply(1.0, i.Outcome.MISS, i.Remark.NONE)
         duration = pull.size_kb / FRONT_SETTINGS.stream_rate * slowdown * random.uniform(0.8, 1.2)
-        return Said(duration + random.uniform(2.0, 20.0), i.Outcome.OK,
+        return ScriptedReply(duration + random.uniform(2.0, 20.0), i.Outcome.OK,
                     i.Remark.HIT if relay.source == relay.cache else i.Remark.FILLED)  # fmt: skip
 
     return behave
@@ -44,15 +44,17 @@
 def answered_shares(slowdown: float, seed: int) -> tuple[float, float, float]:
     """Return the answered share of all pulls, of the largest tenth, and of the next fifth."""
     random = Random(seed)
-    world = World(FRONT_SETTINGS, tuple(line(cache) for cache in SERVERS), slowed_down_caches(slowdown), seed)
+    simulation = FrontSimulation(
+        FRONT_SETTINGS, tuple(cache_entry(cache) for cache in SERVERS), slowed_down_caches(slowdown), seed
+    )
     for number in range(1, PULL_COUNT + 1):
         size = min(random.lognormvariate(6.3, 1.0), 9000.0)
         pull = i.Pull(number, random.randrange(1, 400), 0, 0, 6000.0, False, size, 3)
-        world.pull(PULL_INTERVAL_MS * number, pull)
-    world.run()
-    assert not world.judge()
-    ordered = sorted(world.stories.values(), key=lambda story: -story.pull.size_kb)
-    finished = [story.finals[0][1] == "finished" for story in ordered]
+        simulation.pull(PULL_INTERVAL_MS * number, pull)
+    simulation.run()
+    assert not simulation.violations()
+    ordered = sorted(simulation.pull_records.values(), key=lambda record: -record.pull.size_kb)
+    finished = [record.finals[0][1] == "finished" for record in ordered]
     largest_tenth, next_fifth = (
         finished[: PULL_COUNT // 10],
         finished[PULL_COUNT // 10 : 3 * PULL_COUNT // 10],
