--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,7 +26,7 @@
 from cometseam.transport.attempt import EndReason
 from cometseam.transport.buffers import BufferPool
 from cometseam.transport.client import CLOSE_CROSSING_MS, Client, Listener
-from tests.drive import SETTINGS, Cache, Drive, World, frame, order, resp, world
+from tests.drive import SETTINGS, Cache, FrontDriver, FrontTestbed, client_request, frame, front_testbed, resp
 from tests.test_actors import CONFIG, LISTING, Caller
 from tests.test_actors import order as ordered
 from tests.test_endings import (
@@ -58,7 +58,7 @@
 # Clients that leave while the front is paused
 
 
-def stands_still(pid: int) -> bool:
+def is_stopped(pid: int) -> bool:
     return Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[0] == "T"
 
 
@@ -83,34 +83,36 @@
     how: str, resting: bool, tmp_path: Path
 ) -> None:
     """Guards the 0.3 s rule: a pull and its client's disconnect are unread together, in that order."""
-    async with world(tmp_path) as here:
-        caller, cache = await here.call(), here.caches["cache-1"]
-        host, port = here.config["listen"].split(":")
+    async with front_testbed(tmp_path) as testbed:
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
+        host, port = testbed.config["listen"].split(":")
         front = (host, int(port))
-        await caller.send(order(1))  # from now on a connection to the cache exists: no relay waits for one
+        await caller.send(
+            client_request(1)
+        )  # from now on a connection to the cache exists: no relay waits for one
         await (await cache.next()).answer("DONE", COPY_FIELDS, b"x")
         assert (await caller.next()).body == b"x"
         socks = [connect(front) for _ in range(CASES * resting)]
         for sock in socks:
             sock.sendall(frame(32, 0) if resting else b"")
             assert sock.recv(64)  # it is accepted and answered
-        here.process.send_signal(signal.SIGSTOP)
-        while not stands_still(here.process.pid):
+        testbed.process.send_signal(signal.SIGSTOP)
+        while not is_stopped(testbed.process.pid):
             await anyio.sleep(0.001)
         socks = socks or [connect(front) for _ in range(CASES)]
         for index, sock in enumerate(socks):
-            sock.sendall(order(1, txn=f"{index + 100:016x}", item=f"{index + 100:016x}"))
+            sock.sendall(client_request(1, txn=f"{index + 100:016x}", item=f"{index + 100:016x}"))
             abandon_pull(sock, how)
-        here.process.send_signal(signal.SIGCONT)
-        await caller.send(order(2, item="9" * 16))
+        testbed.process.send_signal(signal.SIGCONT)
+        await caller.send(client_request(2, item="9" * 16))
         asked = await cache.next()
         await asked.answer("DONE", COPY_FIELDS, b"y")
         got = await caller.next()
         assert got.body == b"y", (got, asked.parts)
-        counts = await here.stop()
+        counts = await testbed.stop()
         for sock in socks:
             sock.close()
-    assert [asked.parts[1] for asked in cache.asked] == [f"{1:016x}", f"{2:016x}"]
+    assert [asked.parts[1] for asked in cache.commands] == [f"{1:016x}", f"{2:016x}"]
     if how != "resets":  # after a reset the system may drop what was sent before
         withdrawn = counts.get("pull.withdrawn", 0) + counts.get("pull.hung_up", 0)
         assert withdrawn == CASES  # the race took place each time
@@ -146,7 +148,7 @@
         harness.tasks.start_soon(actor.run)
         harness.tasks.start_soon(listener.run, harness.tasks)
         sock = socket.create_connection(listener._sock.getsockname())
-        sock.sendall(order(1, ram=f"{LARGE_KB:g}", limit="6000"))
+        sock.sendall(client_request(1, ram=f"{LARGE_KB:g}", limit="6000"))
         while not gates:
             await run_other_tasks(1)
         sent = COUNTERS.counts["relay.sent"]
@@ -159,7 +161,7 @@
         if how:
             while actor.pending_count:
                 await run_other_tasks(1)
-            assert not harness.cache.asked and not listener._sock.fileno() < 0
+            assert not harness.cache.commands and not listener._sock.fileno() < 0
             assert COUNTERS.counts["relay.sent"] == sent  # and no other relay was sent for it
         else:
             await (await harness.cache.next()).answer("DONE", COPY_FIELDS, b"z")
@@ -172,19 +174,19 @@
 
 async def test_no_pull_is_forwarded_whose_time_ran_out_while_the_front_was_paused(tmp_path: Path) -> None:
     """The client's deadline counts from when it sent the pull; an answer half a second past that is lost."""
-    async with world(tmp_path) as here:
-        caller, cache = await here.call(), here.caches["cache-1"]
-        await caller.send(order(1))
+    async with front_testbed(tmp_path) as testbed:
+        caller, cache = await testbed.connect_client(), testbed.caches["cache-1"]
+        await caller.send(client_request(1))
         await (await cache.next()).answer("DONE", COPY_FIELDS, b"x")
         assert (await caller.next()).body == b"x"
-        here.process.send_signal(signal.SIGSTOP)
-        while not stands_still(here.process.pid):
+        testbed.process.send_signal(signal.SIGSTOP)
+        while not is_stopped(testbed.process.pid):
             await anyio.sleep(0.001)
-        await caller.send(order(2, limit="300"))
+        await caller.send(client_request(2, limit="300"))
         await anyio.sleep(0.4)  # the deadline passes meanwhile
-        here.process.send_signal(signal.SIGCONT)
+        testbed.process.send_signal(signal.SIGCONT)
         assert (await caller.next()).code == 2  # shed at once: a retry is harmless
-        assert len(cache.asked) == 1
+        assert len(cache.commands) == 1
 
 
 # The deduplication window
@@ -192,16 +194,18 @@
 
 def test_further_relay_of_a_tagged_pull_may_not_wait_past_its_deduplication_window() -> None:
     tagged = replace(SETTINGS.workloads[1], dedup_scope=i.DedupScope.ALL)  # its window is 1 s
-    drive = Drive(replace(SETTINGS, workloads=(SETTINGS.workloads[0], tagged, *SETTINGS.workloads[2:])))
-    drive.pull(1, workload=1)
-    assert drive.last[1].write_within == 0.0  # no endpoint has run it
-    first = drive.last[1].cache
-    drive.end(1, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
-    assert drive.last[1].cache != first or drive.relays[1] == 1
-    assert drive.last[1].write_within == 700.0
-    drive.pull(2, workload=0)  # idempotent: at any time
-    drive.end(2, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
-    assert drive.relays[2] == 1 and drive.last[2].write_within == 0.0
+    driver = FrontDriver(
+        replace(SETTINGS, workloads=(SETTINGS.workloads[0], tagged, *SETTINGS.workloads[2:]))
+    )
+    driver.pull(1, workload=1)
+    assert driver.last[1].write_within == 0.0  # no endpoint has run it
+    first = driver.last[1].cache
+    driver.end(1, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
+    assert driver.last[1].cache != first or driver.relays[1] == 1
+    assert driver.last[1].write_within == 700.0
+    driver.pull(2, workload=0)  # idempotent: at any time
+    driver.end(2, i.Outcome.ERROR, i.Remark.NONE, after=300.0)
+    assert driver.relays[2] == 1 and driver.last[2].write_within == 0.0
 
 
 @pytest.mark.parametrize("late", [True, False], ids=["past its window", "within it"])
@@ -214,7 +218,7 @@
     settings = replace(CONFIG.settings, workloads=(workload, *CONFIG.settings.workloads[1:]))
     async with one_peer(connect_timeout=5000.0) as harness:
         await harness.start()
-        other = Cache("d", harness.news)
+        other = Cache("d", harness.notifier)
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         harness.tasks.start_soon(listener.serve, other.serve)
         address = ("127.0.0.1", listener.extra(anyio.abc.SocketAttribute.local_port))
@@ -230,8 +234,8 @@
             await run_other_tasks(1)
         started_at = harness.resources.clock.now()
         gates[0].set()
-        await harness.news.until(lambda: harness.cache.asked or other.asked)
-        first, second = (harness.cache, other) if harness.cache.asked else (other, harness.cache)
+        await harness.notifier.wait_until(lambda: harness.cache.commands or other.commands)
+        first, second = (harness.cache, other) if harness.cache.commands else (other, harness.cache)
         await (await first.next()).answer("BROKE")
         while len(gates) < 2:
             await run_other_tasks(1)
@@ -246,7 +250,7 @@
         if late:
             assert await caller.until(1) in (["1 shed"], ["1 errored"])
             await run_other_tasks()
-            assert not second.asked
+            assert not second.commands
         else:
             await (await second.next()).answer("DONE", COPY_FIELDS, b"x")
             assert await caller.until(1) == ["1 served"]
@@ -274,8 +278,8 @@
     """Guards against an answer destroyed by a reset, caused by a pull that the client sends just then."""
     async with client_listener(max_clients=1) as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
-        sock.send(order(1))
-        await handler.news.until(lambda: handler.accepted)
+        sock.send(client_request(1))
+        await handler.notifier.wait_until(lambda: handler.accepted)
         client, stream = handler.accepted[0]
         body = FakeBody(100_000)
         client.answer_served(stream, False, body)
@@ -285,10 +289,10 @@
             got += sock.recv(4096)
         count_before = COUNTERS.counts["client.gave_place"]
         other = await connect_client()
-        other.send(order(1))
-        await handler.news.until(lambda: len(handler.accepted) == 2)  # though the limit was reached
+        other.send(client_request(1))
+        await handler.notifier.wait_until(lambda: len(handler.accepted) == 2)  # though the limit was reached
         assert COUNTERS.counts["client.gave_place"] == count_before + 1 and client not in listener.clients
-        sock.send(order(2))  # before the client sees the close
+        sock.send(client_request(2))  # before the client sees the close
         rest, clean = await read_to_end(sock)
         assert clean and (got + rest).endswith(body.bytes) and len(handler.accepted) == 2
         for each in (sock, other):
@@ -345,7 +349,7 @@
             )
             listener._tasks = tasks  # only the drain accepts
             first, second = (socket.create_connection(listener._sock.getsockname()) for _ in range(2))
-            second.sendall(order(1))
+            second.sendall(client_request(1))
             second.setblocking(False)
             monkeypatch.setattr(anyio, "sleep", clock.sleep)
             assert await accept_waiting(listener)  # new and silent: it is kept for 900 ms
@@ -361,17 +365,17 @@
     """Part of a pull is read, and nothing is unread, at the check that would close the idle connection."""
     async with client_listener() as (_, handler, connect_client, _):
         sock = await connect_client()
-        sock.send(order(1))
-        await handler.news.until(lambda: handler.accepted)
+        sock.send(client_request(1))
+        await handler.notifier.wait_until(lambda: handler.accepted)
         client, stream = handler.accepted[0]
         client.answer_shed(stream, 0.0)
-        sock.send(order(2)[:20])
+        sock.send(client_request(2)[:20])
         while not client._decoder.has_partial_frame:
             await run_other_tasks(1)
         client.used_at -= 60_000.0  # idle for longer than allowed
         assert not client.is_overdue() and not client.is_evictable(0.0) and not client.is_drained
-        sock.send(order(2)[20:])
-        await handler.news.until(lambda: len(handler.accepted) == 2)
+        sock.send(client_request(2)[20:])
+        await handler.notifier.wait_until(lambda: len(handler.accepted) == 2)
         client.answer_shed(2, 0.0)
         client.used_at -= 60_000.0
         assert client.is_overdue() and client.is_evictable(0.0) and client.is_drained
@@ -422,23 +426,23 @@
     return path
 
 
-async def start_read_in_child(here: World, path: Path) -> None:
+async def start_read_in_child(testbed: FrontTestbed, path: Path) -> None:
     """Start a reload and stop the child that reads the file, so that the reading does not end."""
-    here.process.send_signal(signal.SIGHUP)
+    testbed.process.send_signal(signal.SIGHUP)
 
     def runs(child: str) -> bool:  # before its exec the parent waits for it
         return "cometseam.operator" in Path(f"/proc/{child}/cmdline").read_text()
 
-    while not (found := children(here.process.pid)) or not runs(found[0]):
+    while not (found := children(testbed.process.pid)) or not runs(found[0]):
         await anyio.sleep(0.001)
     os.kill(int(found[0]), signal.SIGSTOP)
 
 
-async def start_read_on_thread(here: World, path: Path) -> None:
+async def start_read_on_thread(testbed: FrontTestbed, path: Path) -> None:
     """Replace the file by a FIFO without a writer, start a reload, and wait until the FIFO is opened."""
     path.unlink()
     os.mkfifo(path)
-    here.process.send_signal(signal.SIGHUP)
+    testbed.process.send_signal(signal.SIGHUP)
     while True:
         try:
             os.open(path, os.O_WRONLY | os.O_NONBLOCK)  # kept open, so that the reading goes on
@@ -457,23 +461,23 @@
 )
 async def test_a_front_ends_while_its_operators_file_is_being_read(
     make: Callable[[Path], Path], name: str, command: list[str] | None,
-    under_way: Callable[[World, Path], Awaitable[None]], tmp_path: Path,
+    under_way: Callable[[FrontTestbed, Path], Awaitable[None]], tmp_path: Path,
 ) -> None:  # fmt: skip
     """The front answers its pending pulls, and its shutdown does not wait for the file."""
     path = make(tmp_path / name)
-    async with world(tmp_path, operator=path, command=command) as here:
-        await served(here, 1)
-        await under_way(here, path)
-        children_before = children(here.process.pid)
-        caller = await here.call()
-        await caller.send(order(2))
-        asked = await here.first()
-        here.process.send_signal(signal.SIGTERM)
-        await here.logged(b"drains")
+    async with front_testbed(tmp_path, operator=path, command=command) as testbed:
+        await served(testbed, 1)
+        await under_way(testbed, path)
+        children_before = children(testbed.process.pid)
+        caller = await testbed.connect_client()
+        await caller.send(client_request(2))
+        asked = await testbed.next_command()
+        testbed.process.send_signal(signal.SIGTERM)
+        await testbed.logged(b"drains")
         await asked.answer("DONE", COPY_FIELDS, b"owed")
         while (got := await caller.next()).type != 17:
             pass
         assert got.body == b"owed"
-        counts = await here.end()
+        counts = await testbed.end()
         assert not any(Path(f"/proc/{child}").exists() for child in children_before)
     assert "operator.taken" not in counts and "operator.refused" not in counts
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -45,9 +45,9 @@
 from cometseam.operator import compiled
 from cometseam.operator.load import load
 from cometseam.routing.levels import counter_label, histogram
-from tests.drive import SAMPLE, SERVERS, SETTINGS, Drive, line
+from tests.drive import SAMPLE, SERVERS, SETTINGS, FrontDriver, cache_entry
 from tests.standins.link import Shared
-from tests.standins.scripted import Said, World
+from tests.standins.scripted import FrontSimulation, ScriptedReply
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "levels.jsonnet"
 deterministic = settings(derandomize=True, deadline=None, max_examples=120)
@@ -383,32 +383,32 @@
 
 
 def test_the_decision_module_sheds_immediately_and_leaves_out_what_the_level_sets() -> None:
-    drive = Drive()
-    drive.tell(i.ServiceLevel(1, (1.0, 0.0, 0.0, 0.0), min_retry_after=500.0))
-    drive.pull(1)
-    assert drive.trace == ["10 pull 1: shed"] and not drive.front.pending
-    drive.pull(2, workload=1)
-    assert drive.last[2].id == 2
-    drive.tell(i.ServiceLevel(1, (), fill_first_seen=False, prefer_stale=True))
-    drive.pull(3, wanted=77)
-    drive.lack(3)  # first seen: no fill, but a lookup for a stale copy
-    assert drive.last[3].source == drive.last[3].cache and drive.last[3].max_age == 25_000.0
-    drive.lack(3)
-    drive.tell(i.ServiceLevel(1, (), allow_further_relays=False))
-    drive.pull(4, wanted=78)
-    drive.end(4, i.Outcome.RESET, i.Remark.NONE)
-    assert drive.relays[4] == 0 and "pull 4: shed" in drive.trace[-1]
-    drive.tell(i.ServiceLevel(1, (), fill_limit_share=0.05))
-    drive.front.fill_limit.in_flight = 5
-    drive.pull(5, wanted=79)
-    drive.lack(5)
-    assert drive.last[5].source == drive.last[5].cache  # a fill would exceed the limit
-    drive.front.fill_limit.in_flight = 0
-    drive.tell(i.ServiceLevel())
-    drive.pull(6, wanted=80)
-    drive.lack(6)
-    assert drive.last[6].source != drive.last[6].cache
-    counts = drive.front.load_shedder.skipped_counts
+    driver = FrontDriver()
+    driver.send_event(i.ServiceLevel(1, (1.0, 0.0, 0.0, 0.0), min_retry_after=500.0))
+    driver.pull(1)
+    assert driver.trace == ["10 pull 1: shed"] and not driver.front.pending
+    driver.pull(2, workload=1)
+    assert driver.last[2].id == 2
+    driver.send_event(i.ServiceLevel(1, (), fill_first_seen=False, prefer_stale=True))
+    driver.pull(3, object_id=77)
+    driver.end_with_miss(3)  # first seen: no fill, but a lookup for a stale copy
+    assert driver.last[3].source == driver.last[3].cache and driver.last[3].max_age == 25_000.0
+    driver.end_with_miss(3)
+    driver.send_event(i.ServiceLevel(1, (), allow_further_relays=False))
+    driver.pull(4, object_id=78)
+    driver.end(4, i.Outcome.RESET, i.Remark.NONE)
+    assert driver.relays[4] == 0 and "pull 4: shed" in driver.trace[-1]
+    driver.send_event(i.ServiceLevel(1, (), fill_limit_share=0.05))
+    driver.front.fill_limit.in_flight = 5
+    driver.pull(5, object_id=79)
+    driver.end_with_miss(5)
+    assert driver.last[5].source == driver.last[5].cache  # a fill would exceed the limit
+    driver.front.fill_limit.in_flight = 0
+    driver.send_event(i.ServiceLevel())
+    driver.pull(6, object_id=80)
+    driver.end_with_miss(6)
+    assert driver.last[6].source != driver.last[6].cache
+    counts = driver.front.load_shedder.skipped_counts
     assert counts["shed.0"] == 1 and counts["further_relays"] == 1
     assert counts["first_seen_fills"] >= 1 and counts["fills"] >= 1
 
@@ -539,48 +539,52 @@
         STRICTEST,
         replace(STRICTEST, allow_further_relays=True, fill_first_seen=True, fill_limit_share=1.0),
     ):
-        drive = Drive()
-        drive.tell(level)
+        driver = FrontDriver()
+        driver.send_event(level)
         for number, cache in enumerate((22, 11, 21, 13), 1):
-            drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (line(cache, i.Lifecycle.DRAINING),)))
-            drive.pull(number, wanted=number)
-            drive.lack(number)
+            driver.send_event(
+                i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cache_entry(cache, i.Lifecycle.DRAINING),))
+            )
+            driver.pull(number, object_id=number)
+            driver.end_with_miss(number)
             draining = {22, 11, 21, 13} - set((22, 11, 21, 13)[number:])
-            assert not draining & {drive.last[number].cache, drive.last[number].source}
-        drive = Drive(caches=(11, 21, 31))
-        drive.tell(level)
-        cold = (line(11, ready_at=drive.now), line(21, ready_at=drive.now))
-        drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, cold))
+            assert not draining & {driver.last[number].cache, driver.last[number].source}
+        driver = FrontDriver(caches=(11, 21, 31))
+        driver.send_event(level)
+        cold = (cache_entry(11, ready_at=driver.now), cache_entry(21, ready_at=driver.now))
+        driver.send_event(i.CacheListUpdate(i.ListUpdateKind.CHANGES, cold))
         for number in range(1, 41):
-            drive.pull(number, wanted=number, after=1.0)
+            driver.pull(number, object_id=number, after=1.0)
         budget = (
             0.75 * 2.0 * 0.2 * 8.0 * 2000.0
         )  # this front's share of the slow-start budget of the cold cache
-        assert 0.0 < sum(work for _, work in drive.front.servers[11].sent_work) <= budget
-        drive = Drive()
-        drive.tell(level)
-        drive.tell(i.Purged(5, 3, 0.0))
-        drive.pull(1, after=40.0)
-        assert drive.last[1].max_age == 40.0
-        drive.lack(1)
-        assert drive.last[1].max_age <= 41.0 and drive.last[1].max_age > 0.0
-        drive = Drive()
-        drive.tell(level)
-        drive.pull(1, workload=2)  # once-only
-        drive.end(1, i.Outcome.RESET, i.Remark.NONE)
-        assert drive.trace[-1].endswith("pull 1: error") and drive.relays[1] == 0
+        assert 0.0 < sum(work for _, work in driver.front.servers[11].sent_work) <= budget
+        driver = FrontDriver()
+        driver.send_event(level)
+        driver.send_event(i.Purged(5, 3, 0.0))
+        driver.pull(1, after=40.0)
+        assert driver.last[1].max_age == 40.0
+        driver.end_with_miss(1)
+        assert driver.last[1].max_age <= 41.0 and driver.last[1].max_age > 0.0
+        driver = FrontDriver()
+        driver.send_event(level)
+        driver.pull(1, workload=2)  # once-only
+        driver.end(1, i.Outcome.RESET, i.Remark.NONE)
+        assert driver.trace[-1].endswith("pull 1: error") and driver.relays[1] == 0
 
 
 def test_pulls_of_all_kinds_keep_the_rules_while_levels_change() -> None:
-    def random_answer(_: float, relay: i.Relay, asked: i.Pull, rng: Random) -> Said:
+    def random_answer(_: float, relay: i.Relay, asked: i.Pull, rng: Random) -> ScriptedReply:
         outcomes = [i.Outcome.OK, i.Outcome.OK, i.Outcome.MISS, i.Outcome.RESET, i.Outcome.FULL]
         outcome = rng.choice(outcomes)
         remark = i.Remark.HIT if outcome is i.Outcome.OK else i.Remark.NONE
-        return Said(rng.choice((1.0, 40.0, 300.0)), outcome, remark)
+        return ScriptedReply(rng.choice((1.0, 40.0, 300.0)), outcome, remark)
 
     for seed in range(12):
         rng = Random(seed)
-        world = World(SETTINGS, tuple(line(cache) for cache in SERVERS), random_answer, seed)
+        simulation = FrontSimulation(
+            SETTINGS, tuple(cache_entry(cache) for cache in SERVERS), random_answer, seed
+        )
         for index in range(20):
             shares = tuple(rng.choice((0.0, 0.3, 0.9)) for _ in range(4))
             reduced = replace(
@@ -592,13 +596,13 @@
                 fill_limit_share=rng.choice((0.05, 1.0)),
             )
             service_level = reduced if index % 4 else i.ServiceLevel()
-            world.at(index * 150.0, partial(world.tell, service_level))
+            simulation.schedule(index * 150.0, partial(simulation.send_event, service_level))
         for number in range(1, 300):
             object_number = rng.randrange(40)
             asked = i.Pull(number, object_number, rng.randrange(3), rng.randrange(4), 2000.0, False, 80.0, 3)
-            world.pull(number * 10.0, asked)
-        world.run()
-        assert world.judge() == []
+            simulation.pull(number * 10.0, asked)
+        simulation.run()
+        assert simulation.violations() == []
 
 
 def test_a_level_name_with_spaces_becomes_one_word_in_counter_names() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -24,7 +24,7 @@
     max_min_fair_shares,
 )
 from cometseam.routing import capacity_demand
-from tests.drive import EDGES, PARENTS, SETTINGS, Drive
+from tests.drive import EDGES, PARENTS, SETTINGS, FrontDriver
 from tests.standins.limits import LIMIT_NAME, SimulatedFleet
 
 TERMS = SharingTerms(expected_fronts=4, grant_ttl=1000.0, refresh=200.0, window=500.0)
@@ -321,33 +321,33 @@
 # How the routing module applies its share, and the demand it reports
 
 
-def cold_front(fronts: int = 4) -> tuple[Drive, int]:
+def cold_front(fronts: int = 4) -> tuple[FrontDriver, int]:
     """Return a front that is one of four, and one of its caches, which is cold."""
-    drive = Drive(replace(SETTINGS, fronts=fronts, fronts_by_zone=(0, fronts, 0)))
-    cold = i.CacheEntry(EDGES[0], i.Lifecycle.READY, drive.now, 1, 1, 0, 8.0)
-    drive.tell(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cold,)))
-    return drive, EDGES[0]
+    driver = FrontDriver(replace(SETTINGS, fronts=fronts, fronts_by_zone=(0, fronts, 0)))
+    cold = i.CacheEntry(EDGES[0], i.Lifecycle.READY, driver.now, 1, 1, 0, 8.0)
+    driver.send_event(i.CacheListUpdate(i.ListUpdateKind.CHANGES, (cold,)))
+    return driver, EDGES[0]
 
 
-def count_relays_to(drive: Drive, cache: int, pulls: int = 200) -> int:
+def count_relays_to(driver: FrontDriver, cache: int, pulls: int = 200) -> int:
     """Send pulls of 300 ms each, the workload's mean, within half a second; return how many the cache got."""
-    first, count = max(drive.relays, default=0) + 1, 0
+    first, count = max(driver.relays, default=0) + 1, 0
     for number in range(first, first + pulls):
-        drive.tell(i.Pull(number, number, 0, 0, 2000.0, False, 1500.0, 3), 2.0)
-        relay = drive.last.get(number)
+        driver.send_event(i.Pull(number, number, 0, 0, 2000.0, False, 1500.0, 3), 2.0)
+        relay = driver.last.get(number)
         if relay is not None:
             count += relay.cache == cache
-            drive.end(number, after=0.1)
+            driver.end(number, after=0.1)
     return count
 
 
 def test_the_slow_start_budget_of_a_cold_cache_follows_the_granted_share() -> None:
     counts = []
     for share in (None, 0.0, 0.5, 1.0):
-        drive, cold = cold_front()
+        driver, cold = cold_front()
         if share is not None:
-            drive.tell(i.CapacityLease(cold, share, 10_000.0))
-        counts.append(count_relays_to(drive, cold))
+            driver.send_event(i.CapacityLease(cold, share, 10_000.0))
+        counts.append(count_relays_to(driver, cold))
     equal_share, none, half, full = counts
     assert (
         none == 0 < equal_share < half < full
@@ -359,30 +359,32 @@
 def test_after_expiry_a_share_below_the_floor_still_applies_and_one_above_does_not() -> None:
     budgets = []
     for share in (0.1, 0.9):
-        drive, cold = cold_front()
-        drive.tell(i.CapacityLease(cold, share, 100.0))
-        drive.tell(i.LoopLagged(0.0), after=200.0)
-        budgets.append(drive.front.slow_start_budget(drive.front.servers[cold]))
+        driver, cold = cold_front()
+        driver.send_event(i.CapacityLease(cold, share, 100.0))
+        driver.send_event(i.LoopLagged(0.0), after=200.0)
+        budgets.append(driver.front.slow_start_budget(driver.front.servers[cold]))
     equal_share = budgets[1]
     assert abs(budgets[0] - 0.4 * equal_share) < 1e-6
 
 
 def test_demand_doubles_where_sends_were_blocked_and_falls_to_the_share_in_use() -> None:
-    drive, cold = cold_front()
-    count_relays_to(drive, cold)
+    driver, cold = cold_front()
+    count_relays_to(driver, cold)
     # Blocked at an equal share of a quarter.
-    assert capacity_demand.slow_start_demands(drive.front, drive.now) == {cold: 0.5}
-    drive.tell(i.LoopLagged(0.0), after=1500.0)
-    used = capacity_demand.slow_start_demands(drive.front, drive.now)[cold]
+    assert capacity_demand.slow_start_demands(driver.front, driver.now) == {cold: 0.5}
+    driver.send_event(i.LoopLagged(0.0), after=1500.0)
+    used = capacity_demand.slow_start_demands(driver.front, driver.now)[cold]
     assert 0.25 < used < 0.35  # 1.25 times the use in the window, with room for at least one more
-    drive.tell(i.LoopLagged(0.0), after=1500.0)
-    assert capacity_demand.slow_start_demands(drive.front, drive.now) == {cold: 0.0}
+    driver.send_event(i.LoopLagged(0.0), after=1500.0)
+    assert capacity_demand.slow_start_demands(driver.front, driver.now) == {cold: 0.0}
     # A share below one pull would let nothing through.
     assert capacity_demand.demanded_share(0.001, 0.0, True, 0.02) == 0.02
-    drive.tell(i.LoopLagged(0.0), after=20_000.0)
-    assert capacity_demand.slow_start_demands(drive.front, drive.now) == {}  # the cache is warm
-    assert capacity_demand.group_of(drive.front, cold, ("a", "b", "c")) == "b"
-    assert capacity_demand.group_of(drive.front, PARENTS[0], ("a", "b", "c")) == capacity_demand.PARENTS_GROUP
+    driver.send_event(i.LoopLagged(0.0), after=20_000.0)
+    assert capacity_demand.slow_start_demands(driver.front, driver.now) == {}  # the cache is warm
+    assert capacity_demand.group_of(driver.front, cold, ("a", "b", "c")) == "b"
+    assert (
+        capacity_demand.group_of(driver.front, PARENTS[0], ("a", "b", "c")) == capacity_demand.PARENTS_GROUP
+    )
 
 
 def test_the_sharing_groups_are_the_zones_with_fronts_and_the_parents() -> None:
--- a/tests/test_limits_fronts.py
+++ b/tests/test_limits_fronts.py
@@ -14,7 +14,7 @@
 import anyio
 import pytest
 
-from tests.drive import order
+from tests.drive import client_request
 from tests.standins.fronts import Fronts, cold_limit, fronts, over_limit
 
 pytestmark = pytest.mark.anyio
@@ -29,12 +29,12 @@
 
 
 async def send_pulls(
-    here: Fronts, index: int, rate: Callable[[float], float], length: float, first_number: int = 0
+    running_fronts: Fronts, index: int, rate: Callable[[float], float], length: float, first_number: int = 0
 ) -> None:
     """Send pulls by one client through a front, at a rate that changes with time, until the front ends."""
     started_at, number = time.monotonic(), first_number
     try:
-        client = await here.worlds[index].call()
+        client = await running_fronts.testbeds[index].connect_client()
         while (elapsed := time.monotonic() - started_at) < length:
             pulls_per_s = rate(elapsed)
             if not pulls_per_s:
@@ -43,7 +43,9 @@
             number += 1
             txn = f"{index + 1:08x}{number:08x}"
             item = f"{(index * 7919 + number) * 2654435761 % (1 << 64):016x}"
-            await client.send(order(number, txn=txn, item=item, ram="875"))  # 250 ms of sending, the mean
+            await client.send(
+                client_request(number, txn=txn, item=item, ram="875")
+            )  # 250 ms of sending, the mean
             await client.next()
             await anyio.sleep(max(1.0 / pulls_per_s - 0.004, 0.0))
     except (OSError, anyio.BrokenResourceError, anyio.IncompleteRead, anyio.EndOfStream):
@@ -55,18 +57,20 @@
     rates: tuple[float, ...] = (),
 ) -> Fronts:  # fmt: skip
     """Start fronts, restart cache-2 (cold), send pulls, cause the fault; the caches record the relays."""
-    async with fronts(FRONTS, NAMES, limits=limits, expected=FRONTS, rates=rates) as here:
+    async with fronts(FRONTS, NAMES, limits=limits, expected=FRONTS, rates=rates) as running_fronts:
         if limits:
-            await here.probing(task="limits")
-        here.cold_at = time.monotonic()
-        for front in here.worlds:
-            restarted_line = front.line("cache-2", since_ms=time.time() * 1000.0)
-            front.tell(fleet={"index": 2, "snapshot": False, "endpoints": [restarted_line]})
+            await running_fronts.wait_for_owner(task="limits")
+        running_fronts.cold_at = time.monotonic()
+        for front in running_fronts.testbeds:
+            restarted_line = front.endpoint_entry("cache-2", since_ms=time.time() * 1000.0)
+            front.add_event(fleet={"index": 2, "snapshot": False, "endpoints": [restarted_line]})
         async with anyio.create_task_group() as tasks:
             for index in range(FRONTS):
-                tasks.start_soon(send_pulls, here, index, lambda at, index=index: rate(index, at), length)
-            tasks.start_soon(fault, here)
-        return here
+                tasks.start_soon(
+                    send_pulls, running_fronts, index, lambda at, index=index: rate(index, at), length
+                )
+            tasks.start_soon(fault, running_fronts)
+        return running_fronts
 
 
 def one_hot(index: int, at: float) -> float:
@@ -78,78 +82,81 @@
     return 150.0 if int(at) % FRONTS == index else 0.0
 
 
-async def nothing(here: Fronts) -> None:
+async def nothing(running_fronts: Fronts) -> None:
     return
 
 
-async def coordinator_killed(here: Fronts) -> None:
+async def coordinator_killed(running_fronts: Fronts) -> None:
     await anyio.sleep(2.5)
-    here.worlds[await here.probing(task="limits")].process.kill()
+    running_fronts.testbeds[await running_fronts.wait_for_owner(task="limits")].process.kill()
 
 
-async def coordinator_paused(here: Fronts) -> None:
+async def coordinator_paused(running_fronts: Fronts) -> None:
     """Beyond its lease and its grants; it resumes with its old state while another front is coordinator."""
     await anyio.sleep(2.5)
-    index = await here.probing(task="limits")
-    os.kill(here.worlds[index].process.pid, signal.SIGSTOP)
+    index = await running_fronts.wait_for_owner(task="limits")
+    os.kill(running_fronts.testbeds[index].process.pid, signal.SIGSTOP)
     await anyio.sleep(2.5)
-    os.kill(here.worlds[index].process.pid, signal.SIGCONT)
+    os.kill(running_fronts.testbeds[index].process.pid, signal.SIGCONT)
 
 
-async def hot_link_cut(here: Fronts) -> None:
+async def hot_link_cut(running_fronts: Fronts) -> None:
     await anyio.sleep(2.5)
-    await here.links[0].set_cut()
+    await running_fronts.links[0].set_cut()
     await anyio.sleep(3.0)
-    here.links[0].cut = False
+    running_fronts.links[0].cut = False
 
 
-async def all_links_cut(here: Fronts) -> None:
+async def all_links_cut(running_fronts: Fronts) -> None:
     """For three times the lifetime of a grant."""
     await anyio.sleep(2.5)
-    for link in here.links:
+    for link in running_fronts.links:
         await link.set_cut()
     await anyio.sleep(3.0)
-    for link in here.links:
+    for link in running_fronts.links:
         link.cut = False
 
 
-async def service_frozen(here: Fronts) -> None:
+async def service_frozen(running_fronts: Fronts) -> None:
     await anyio.sleep(2.5)
-    os.kill(here.etcd.pid, signal.SIGSTOP)
+    os.kill(running_fronts.etcd.pid, signal.SIGSTOP)
     await anyio.sleep(2.0)
-    os.kill(here.etcd.pid, signal.SIGCONT)
+    os.kill(running_fronts.etcd.pid, signal.SIGCONT)
 
 
-async def service_split(here: Fronts) -> None:
+async def service_split(running_fronts: Fronts) -> None:
     """Two halves, each with a coordinator of its own."""
     await anyio.sleep(2.5)
-    await here.split_service([0])
+    await running_fronts.split_service([0])
 
 
-async def restarted(here: Fronts) -> None:
+async def restarted(running_fronts: Fronts) -> None:
     """Two of three fronts are killed at once and restarted."""
     await anyio.sleep(2.5)
-    await here.restart([0, 1])
+    await running_fronts.restart([0, 1])
 
 
-async def most_restarted(here: Fronts) -> None:
+async def most_restarted(running_fronts: Fronts) -> None:
     """Both send pulls again as soon as they have started."""
-    await restarted(here)
+    await restarted(running_fronts)
     async with anyio.create_task_group() as tasks:
         for index in (0, 1):
-            tasks.start_soon(send_pulls, here, index, lambda at: 100.0, 4.0, 500_000)
+            tasks.start_soon(send_pulls, running_fronts, index, lambda at: 100.0, 4.0, 500_000)
 
 
 async def test_a_hot_front_uses_the_share_that_others_leave_and_the_cold_cache_stays_in_its_limit() -> None:
-    here = await play(True, one_hot, 8.0, nothing)
-    assert over_limit(here) <= 1.0
-    used = [share for at, share in here.used() if at > 4.0]
+    running_fronts = await play(True, one_hot, 8.0, nothing)
+    assert over_limit(running_fronts) <= 1.0
+    used = [share for at, share in running_fronts.used() if at > 4.0]
     assert max(used) > 0.6  # with equal shares: a third, and what the others send
 
 
 async def test_without_sharing_a_hot_front_has_only_an_equal_share() -> None:
-    here = await play(False, one_hot, 8.0, nothing)
-    assert over_limit(here) <= 1.0 and max(share for at, share in here.used() if at > 4.0) < 0.5
+    running_fronts = await play(False, one_hot, 8.0, nothing)
+    assert (
+        over_limit(running_fronts) <= 1.0
+        and max(share for at, share in running_fronts.used() if at > 4.0) < 0.5
+    )
 
 
 @pytest.mark.parametrize(
@@ -157,20 +164,20 @@
     [coordinator_killed, coordinator_paused, hot_link_cut, all_links_cut, service_frozen, service_split],
 )
 async def test_the_cold_cache_stays_in_its_limit_under(fault: Fault) -> None:
-    here = await play(True, moving, 9.0, fault)
-    assert over_limit(here) <= 1.0, here.used()
+    running_fronts = await play(True, moving, 9.0, fault)
+    assert over_limit(running_fronts) <= 1.0, running_fronts.used()
 
 
 async def test_with_a_fast_clock_a_front_exceeds_the_limit_by_at_most_its_floor() -> None:
     """Far above the file's drift: its grants expire early, while its floor may be granted to others."""
-    here = await play(True, moving, 9.0, all_links_cut, rates=(1.5, 1.0, 1.0))
-    assert over_limit(here) <= 1.0 + 1.0 / FRONTS, here.used()
+    running_fronts = await play(True, moving, 9.0, all_links_cut, rates=(1.5, 1.0, 1.0))
+    assert over_limit(running_fronts) <= 1.0 + 1.0 / FRONTS, running_fronts.used()
 
 
 async def test_with_two_of_three_fronts_restarted_at_once_the_load_stays_within_the_bound() -> None:
     """What an ended process sent counts for a window, and the new one starts at its floor: five count."""
-    here = await play(True, moving, 9.0, most_restarted)
-    assert over_limit(here) <= 5.0 / 3.0, here.used()
+    running_fronts = await play(True, moving, 9.0, most_restarted)
+    assert over_limit(running_fronts) <= 5.0 / 3.0, running_fronts.used()
 
 
 def test_the_limit_in_relays_follows_from_the_settings() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,7 +22,7 @@
     read_bounded,
 )
 from cometseam.operator.load import load
-from tests.drive import SAMPLE, World, order, world
+from tests.drive import SAMPLE, FrontTestbed, client_request, front_testbed
 from tests.test_operator import EXAMPLE
 
 pytestmark = pytest.mark.anyio
@@ -72,11 +72,11 @@
     return pids
 
 
-async def served(here: World, number: int) -> None:
+async def served(testbed: FrontTestbed, number: int) -> None:
     """Check that the front serves: a pull reaches a scripted cache and its answer comes back."""
-    client = await here.call()
-    await client.send(order(number))
-    asked = await here.first()
+    client = await testbed.connect_client()
+    await client.send(client_request(number))
+    asked = await testbed.next_command()
     await asked.answer("DONE", COPY_FIELDS, b"fine")
     assert (await client.next()).body == b"fine"
 
@@ -86,21 +86,21 @@
 ) -> None:
     path = sealed(tmp_path / "operator.json")
     with anyio.fail_after(60):
-        async with world(tmp_path, operator=path, command=COMMAND) as here:
-            pid = here.process.pid
+        async with front_testbed(tmp_path, operator=path, command=COMMAND) as testbed:
+            pid = testbed.process.pid
             assert children(pid) == []
-            await served(here, 1)
+            await served(testbed, 1)
             sealed(path, TWO)  # a new compiled file is loaded at SIGHUP, in the front's own process
-            here.process.send_signal(signal.SIGHUP)
-            await here.logged(b"operator's file: taken over, 2 routes")
+            testbed.process.send_signal(signal.SIGHUP)
+            await testbed.logged(b"operator's file: taken over, 2 routes")
             assert children(pid) == []
             path.write_bytes(path.read_bytes()[:-40])  # truncated: rejected, and the running plans stay
-            here.process.send_signal(signal.SIGHUP)
-            await here.logged(b"; the one that runs stays")
-            await served(here, 3)
+            testbed.process.send_signal(signal.SIGHUP)
+            await testbed.logged(b"; the one that runs stays")
+            await served(testbed, 3)
             assert children(pid) == []
-            counters = await here.stop()
-    assert REFUSAL_PREFIX not in here.output, here.output.decode()
+            counters = await testbed.stop()
+    assert REFUSAL_PREFIX not in testbed.output, testbed.output.decode()
     assert counters["operator.taken"] == 1 and counters["operator.refused"] == 1
 
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -7,7 +7,7 @@
 from cometseam.protocol import ProtocolError, discovery_events, frames, resp
 from cometseam.settings import NameTables
 from cometseam.transport.buffers import BUFFER_SIZE_BYTES, BufferPool, MessageBuffer
-from tests.drive import SAMPLE, frame, order
+from tests.drive import SAMPLE, client_request, frame
 from tests.drive import resp as array
 
 TAG = "4be0c1927d55a6f3"
@@ -27,7 +27,13 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1000, BUFFER_SIZE_BYTES, 1 << 20])
 def test_frames_decode_the_same_for_any_split(size: int) -> None:
     pool = BufferPool(1 << 22)
-    raw = order(1) + frame(18, 1) + order(2, BIG, got=TAG) + frame(32, 3) + order(4, b"small")
+    raw = (
+        client_request(1)
+        + frame(18, 1)
+        + client_request(2, BIG, got=TAG)
+        + frame(32, 3)
+        + client_request(4, b"small")
+    )
     decoded = feed(frames.Decoder(pool.allocate), raw, size)
     assert [(item.type, item.stream) for item in decoded if isinstance(item, frames.Frame)] == [
         (16, 1), (18, 1), (16, 2), (32, 3), (16, 4),
--- a/tests/test_startup_signals.py
+++ b/tests/test_startup_signals.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from tests.drive import World, frame, world
+from tests.drive import FrontTestbed, frame, front_testbed
 
 pytestmark = pytest.mark.anyio
 
@@ -23,31 +23,31 @@
 ) -> None:
     """The configuration is a FIFO, so the front's startup blocks until the test has sent the signals."""
 
-    def prepare(here: World) -> None:
+    def prepare(testbed: FrontTestbed) -> None:
         async def replace_config_by_fifo() -> None:
-            text = json.dumps(here.config)
-            here.path.unlink()
-            os.mkfifo(here.path)
-            here._tasks.start_soon(write_config, text)
+            text = json.dumps(testbed.config)
+            testbed.path.unlink()
+            os.mkfifo(testbed.path)
+            testbed._tasks.start_soon(write_config, text)
 
         async def write_config(text: str) -> None:
             for is_start in (True, False):  # each open blocks until the front reads
                 if not is_start:
-                    await here.logged(b"listens")  # the first read is complete
-                with await anyio.to_thread.run_sync(open, here.path, "w", abandon_on_cancel=True) as file:
+                    await testbed.logged(b"listens")  # the first read is complete
+                with await anyio.to_thread.run_sync(open, testbed.path, "w", abandon_on_cancel=True) as file:
                     if is_start:
-                        here.process.send_signal(signal.SIGUSR1)
-                        here.process.send_signal(signal.SIGHUP)
+                        testbed.process.send_signal(signal.SIGUSR1)
+                        testbed.process.send_signal(signal.SIGHUP)
                         await anyio.sleep(0.05)
                     file.write(text)
 
-        here.before_start = replace_config_by_fifo
+        testbed.before_start = replace_config_by_fifo
 
-    async with world(tmp_path, prepare=prepare) as here:
-        await here.logged(b"counters (asked)")
-        await here.logged(b"configuration: read anew")
-        await here.logged(b"discovery confirms")
-        caller = await here.call()
+    async with front_testbed(tmp_path, prepare=prepare) as testbed:
+        await testbed.logged(b"counters (asked)")
+        await testbed.logged(b"configuration: read anew")
+        await testbed.logged(b"discovery confirms")
+        caller = await testbed.connect_client()
         await caller.send(frame(32, 1))
         assert (await caller.next()).code == 1
-        await here.stop()
+        await testbed.stop()
--- a/tests/test_timers_first.py
+++ b/tests/test_timers_first.py
@@ -14,7 +14,7 @@
 import pytest
 
 from cometseam.transport.attempt import EndReason
-from tests.drive import order, resp
+from tests.drive import client_request, resp
 from tests.test_endings import TAG, FakeBody, client_listener, one_peer, run_other_tasks
 
 pytestmark = pytest.mark.anyio
@@ -78,7 +78,7 @@
 
 async def test_frame_whose_rest_is_still_unread_does_not_close_its_connection() -> None:
     async with client_listener() as (listener, handler, connect_client, _):
-        sock, raw = await connect_client(), order(1)
+        sock, raw = await connect_client(), client_request(1)
         sock.send(raw[:20])
         while not listener.clients:
             await run_other_tasks()
@@ -89,15 +89,15 @@
         client._partial_frame_since -= 2500.0  # as after a pause of the front
         assert not client.is_overdue()
         client.reject_incomplete_frame()
-        await handler.news.until(lambda: handler.accepted)
+        await handler.notifier.wait_until(lambda: handler.accepted)
         sock.close()
 
 
 async def test_reading_client_is_not_closed_as_stalled_after_a_pause_of_the_front() -> None:
     async with client_listener() as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
-        sock.send(order(1))
-        await handler.news.until(lambda: handler.accepted)
+        sock.send(client_request(1))
+        await handler.notifier.wait_until(lambda: handler.accepted)
         client, stream = handler.accepted[0]
         body = FakeBody(4_000_000)
         client.answer_served(stream, False, body)
@@ -122,8 +122,8 @@
 async def test_client_that_reads_nothing_is_closed_as_stalled() -> None:
     async with client_listener() as (listener, handler, connect_client, _):
         sock = await connect_client(buffer=4096)
-        sock.send(order(1))
-        await handler.news.until(lambda: handler.accepted)
+        sock.send(client_request(1))
+        await handler.notifier.wait_until(lambda: handler.accepted)
         client, stream = handler.accepted[0]
         client.answer_served(stream, False, FakeBody(4_000_000))
         assert client._connection.is_write_blocked
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -14,7 +14,7 @@
 from cometseam.events import EVENTS
 from cometseam.tracing import TraceMode, Tracer
 from cometseam.tracing.tracer import MAX_EVENTS_PER_TRACE
-from tests.drive import order, world
+from tests.drive import client_request, front_testbed
 
 
 def test_wrong_mode_reports_only_failed_or_late_pulls_with_event_times_from_arrival() -> None:
@@ -88,12 +88,12 @@
 async def test_a_front_logs_the_trace_of_a_pull_whose_cache_never_answers(tmp_path: Path) -> None:
     environment = {"COMETSEAM_TRACE": "wrong"}
     with anyio.fail_after(60):
-        async with world(
+        async with front_testbed(
             tmp_path, log="json", listens=b'"front.listens"', environment=environment
         ) as testbed:
-            client = await testbed.call()
-            await client.send(order(7))
-            attempt = await testbed.first()  # never answered
+            client = await testbed.connect_client()
+            await client.send(client_request(7))
+            attempt = await testbed.next_command()  # never answered
             await client.next()
             await testbed.logged(b'"pull.traced"')
             testbed.process.send_signal(signal.SIGTERM)
--- a/tests/test_unconfirmed_list.py
+++ b/tests/test_unconfirmed_list.py
@@ -23,18 +23,18 @@
     Purge,
     UnusableEvent,
 )
-from tests.drive import Caller, World, frame, order, world
+from tests.drive import Caller, FrontTestbed, client_request, frame, front_testbed
 from tests.standins.discovery import Discovery
 from tests.test_late_drain import (
     DRAINING,
     GRACE_S,
-    Scene,
+    DrainScenario,
+    drain_scenario,
     request,
-    scene,
     wait_for_held_poll,
     wait_until_notified,
 )
-from tests.test_leaving import stands_still
+from tests.test_leaving import is_stopped
 
 pytestmark = pytest.mark.anyio
 CLIENTS = 20
@@ -47,19 +47,19 @@
     return "asyncio"
 
 
-def drain_before_start(discovery: Discovery) -> Callable[[World], Awaitable[None]]:
+def drain_before_start(discovery: Discovery) -> Callable[[FrontTestbed], Awaitable[None]]:
     """Return a hook that drains an endpoint after the configuration is written, then waits for the grace."""
 
-    async def drain_and_wait(here: World) -> None:
-        discovery.drain(here.line(DRAINING))
+    async def drain_and_wait(testbed: FrontTestbed) -> None:
+        discovery.drain(testbed.endpoint_entry(DRAINING))
         await anyio.sleep(GRACE_S)
 
     return drain_and_wait
 
 
-async def send_from_all_clients(front_scene: Scene, stream: int = 1) -> list[Caller]:
+async def send_from_all_clients(scenario: DrainScenario, stream: int = 1) -> list[Caller]:
     """Send one request from each client, each on its own connection."""
-    callers = [await front_scene.here.call() for _ in range(CLIENTS)]
+    callers = [await scenario.testbed.connect_client() for _ in range(CLIENTS)]
     for number, caller in enumerate(callers, 1):
         await caller.send(request(stream, number + 100 * stream))
     return callers
@@ -75,26 +75,24 @@
     tmp_path: Path, unanswered: set[int]
 ) -> None:
     discovery = Discovery(silent=unanswered, delay=0.0 if unanswered else DISCOVERY_ROUND_TRIP_S)
-    async with scene(tmp_path, False, discovery, drain_before_start(discovery)) as front_scene:
-        callers = await send_from_all_clients(front_scene)
+    async with drain_scenario(tmp_path, False, discovery, drain_before_start(discovery)) as scenario:
+        callers = await send_from_all_clients(scenario)
         asked_at = time.monotonic()
         assert await count_served(callers) == CLIENTS
         assert asked_at < await wait_until_notified(discovery, 2)  # the intended overlap occurred
-        assert front_scene.late_writes(0.0) == [] and {name for _, name, _ in front_scene.written} == {
-            "cache-2"
-        }
+        assert scenario.late_commands(0.0) == [] and {name for _, name, _ in scenario.received} == {"cache-2"}
 
 
 async def test_front_is_ready_only_after_discovery_answers(tmp_path: Path) -> None:
     gate = anyio.Event()
     discovery = Discovery(gate=gate)
-    async with scene(tmp_path, discovery=discovery) as front_scene:
-        caller = await front_scene.here.call()
+    async with drain_scenario(tmp_path, discovery=discovery) as scenario:
+        caller = await scenario.testbed.connect_client()
         await caller.send(frame(READY, 1))
         before = await caller.next()
         assert (before.type, before.code != 1) == (READINESS, True)
         gate.set()
-        await front_scene.here.logged(b"discovery confirms")
+        await scenario.testbed.logged(b"discovery confirms")
         await caller.send(frame(READY, 2))
         assert (await caller.next()).code == 1
 
@@ -102,15 +100,15 @@
 async def test_front_serves_from_its_initial_list_after_start_wait_if_discovery_is_down(
     tmp_path: Path,
 ) -> None:
-    def prepare(here: World) -> None:
+    def prepare(testbed: FrontTestbed) -> None:
         async def use_closed_port() -> None:
-            here.config["changelog"] = "127.0.0.1:9"  # nothing listens there
-            here.path.write_text(json.dumps(here.config))
+            testbed.config["changelog"] = "127.0.0.1:9"  # nothing listens there
+            testbed.path.write_text(json.dumps(testbed.config))
 
-        here.before_start = use_closed_port
+        testbed.before_start = use_closed_port
 
-    async with world(tmp_path, "cache-2", prepare=prepare) as here:
-        caller, started_at = await here.call(), time.monotonic()
+    async with front_testbed(tmp_path, "cache-2", prepare=prepare) as testbed:
+        caller, started_at = await testbed.connect_client(), time.monotonic()
         code = 0
         while code != 1:
             await caller.send(frame(READY, 1))
@@ -124,24 +122,24 @@
     tmp_path: Path,
 ) -> None:
     """The poll got an empty answer while the front was paused; the endpoint drained after that."""
-    async with scene(tmp_path) as front_scene:
-        discovery = front_scene.discovery
-        assert await count_served(await send_from_all_clients(front_scene)) == CLIENTS
+    async with drain_scenario(tmp_path) as scenario:
+        discovery = scenario.discovery
+        assert await count_served(await send_from_all_clients(scenario)) == CLIENTS
         await wait_for_held_poll(discovery)
         poll = discovery.polls[-1]
-        front_scene.here.process.send_signal(signal.SIGSTOP)
-        while not stands_still(front_scene.here.process.pid):
+        scenario.testbed.process.send_signal(signal.SIGSTOP)
+        while not is_stopped(scenario.testbed.process.pid):
             await anyio.sleep(0.001)
-        await discovery.news.until(lambda: poll.answered_at)
+        await discovery.notifier.wait_until(lambda: poll.answered_at)
         discovery.delay = DISCOVERY_ROUND_TRIP_S / 2
-        discovery.drain(front_scene.here.line(DRAINING))
+        discovery.drain(scenario.testbed.endpoint_entry(DRAINING))
         drained_at = time.monotonic()
-        callers = await send_from_all_clients(front_scene, 2)
+        callers = await send_from_all_clients(scenario, 2)
         await anyio.sleep(GRACE_S + 0.05)
-        front_scene.here.process.send_signal(signal.SIGCONT)
+        scenario.testbed.process.send_signal(signal.SIGCONT)
         assert poll.told == 1  # the intended overlap occurred
         assert await count_served(callers) == CLIENTS
-        assert front_scene.late_writes(drained_at + GRACE_S) == []
+        assert scenario.late_commands(drained_at + GRACE_S) == []
 
 
 def endpoint_entry(name: str, state: Lifecycle) -> EndpointEntry:
@@ -169,18 +167,18 @@
 async def test_drain_after_an_invalid_event_is_applied_in_time_if_discovery_is_slow(
     tmp_path: Path,
 ) -> None:
-    async with scene(tmp_path) as front_scene, anyio.create_task_group() as tasks:
-        discovery = front_scene.discovery
-        tasks.start_soon(front_scene.send_requests, 0.01)
+    async with drain_scenario(tmp_path) as scenario, anyio.create_task_group() as tasks:
+        discovery = scenario.discovery
+        tasks.start_soon(scenario.send_requests, 0.01)
         await wait_for_held_poll(discovery)
         discovery.events.append({"seq": 2, "fleet": {"endpoints": [{"name": "x", "status": "odd"}]}})
-        event = discovery.drain(front_scene.here.line(DRAINING))
-        await discovery.news.until(lambda: discovery.notified_at(event))
+        event = discovery.drain(scenario.testbed.endpoint_entry(DRAINING))
+        await discovery.notifier.wait_until(lambda: discovery.notified_at(event))
         notified_since = discovery.notified_at(event)
         discovery.delay = 1.0
         assert notified_since is not None
         await anyio.sleep(1.5)
-        assert front_scene.late_writes(notified_since + GRACE_S) == []
+        assert scenario.late_commands(notified_since + GRACE_S) == []
         tasks.cancel_scope.cancel()
 
 
@@ -258,9 +256,9 @@
 async def test_request_waiting_for_discovery_is_shed_while_another_front_can_serve_it(
     tmp_path: Path,
 ) -> None:
-    async with scene(tmp_path, discovery=Discovery(gate=anyio.Event())) as front_scene:
-        caller = await front_scene.here.call()
+    async with drain_scenario(tmp_path, discovery=Discovery(gate=anyio.Event())) as scenario:
+        caller = await scenario.testbed.connect_client()
         sent_at = time.monotonic()
-        await caller.send(order(1, verb="grids", limit="600", txn=f"{1:016x}", item=f"{1:016x}"))
+        await caller.send(client_request(1, verb="grids", limit="600", txn=f"{1:016x}", item=f"{1:016x}"))
         assert (await caller.next()).code == 2
-        assert time.monotonic() - sent_at < 0.35 and front_scene.written == []
+        assert time.monotonic() - sent_at < 0.35 and scenario.received == []
